--- a/tests/gateway/limited_targets.py
+++ b/tests/gateway/limited_targets.py
@@ -15,14 +15,14 @@
 CONTACT_SECONDS = 5.0
 
 
-class Need:
+class LimitedTarget:
     """Name a limit in all answers, and keep when requests arrived."""
 
     def __init__(self, per_second):
         self.per_second = per_second
-        self.named_at = None
+        self.first_sent_at = None
         self.arrivals = []
-        self.written = None
+        self.header_text = None
 
     async def serve(self, target, request, writer):
         """Answer, with the limit while there is one."""
@@ -30,8 +30,8 @@
         self.arrivals.append(now)
         headers = echoed(request)
         if self.per_second is not None:
-            self.named_at = self.named_at or now
-            text = self.written or f'{self.per_second}'
+            self.first_sent_at = self.first_sent_at or now
+            text = self.header_text or f'{self.per_second}'
             headers.append(('Server-Limit', text))
         target.executed.append(request)
         writer.write(Reply(200, headers, target.instance.encode()).wire())
--- a/tests/gateway/test_targets_return.py
+++ b/tests/gateway/test_targets_return.py
@@ -19,14 +19,18 @@
 CALL_SECONDS = 0.05
 
 
-async def rest(_target, _request, writer):
+async def reject_with_backoff(_target, _request, writer):
     """Refuse and ask for a rest that ends with the failure."""
     headers = [('Not-Executed', '1'), ('Retry-After', '2')]
     writer.write(Reply(503, headers).wire())
     return True
 
 
-KINDS = {'rest': rest, 'refuse': standin.refuse, 'error': standin.fail}
+KINDS = {
+    'rest': reject_with_backoff,
+    'refuse': standin.refuse,
+    'error': standin.fail,
+}
 
 
 class Counted:
