--- a/jacinthfold/gateway/node.py
+++ b/jacinthfold/gateway/node.py
@@ -24,7 +24,7 @@
 from jacinthfold.proxy.forwarding import Forwarder
 from jacinthfold.proxy.listener import Handler, Listener
 from jacinthfold.proxy.metrics import ProxyMetrics
-from jacinthfold.transport.http_call import HttpCaller
+from jacinthfold.transport.http_call import PooledHttpClient
 
 SETTINGS_CHECK_SECONDS = 2.0
 # Share of the grace after which no connection is accepted any more: callers
@@ -49,7 +49,7 @@
         settings: GatewaySettings,
         settings_path: Path,
         adapter: Adapter,
-        caller: HttpCaller,
+        caller: PooledHttpClient,
         clock: Clock,
     ) -> None:
         """Put the parts together; nothing runs yet."""
@@ -67,7 +67,7 @@
         self.metrics.store_revision.set_function(
             lambda: self._knowledge.catalogue.revision
         )
-        self.metrics.lines_left_out.set_function(logs.lines_left_out)
+        self.metrics.dropped_log_lines.set_function(logs.lines_left_out)
 
     async def run(self) -> None:
         """Serve until asked to stop."""
@@ -235,7 +235,10 @@
                 return
 
     def _in_service(self) -> int:
-        return self._callers.in_service_count + self._relay.in_service_count
+        return (
+            self._callers.active_request_count
+            + self._relay.active_request_count
+        )
 
 
 async def supervised(duty: Duty) -> None:
--- a/jacinthfold/placement/affinity.py
+++ b/jacinthfold/placement/affinity.py
@@ -10,7 +10,7 @@
 
 from jacinthfold.hashing import rank
 from jacinthfold.placement import limits
-from jacinthfold.request.messages import PromptPart
+from jacinthfold.request.messages import PrefixSegment
 
 
 class _RecentSegments:
@@ -48,8 +48,8 @@
         self._recent: dict[str, _RecentSegments] = {}
 
     def shared_segments(
-        self, route_name: str, parts: tuple[PromptPart, ...], targets: int
-    ) -> tuple[PromptPart, ...]:
+        self, route_name: str, parts: tuple[PrefixSegment, ...], targets: int
+    ) -> tuple[PrefixSegment, ...]:
         """Return the leading parts by which requests are kept together."""
         # The last part belongs to the request alone.
         shared = parts[:-1]
@@ -69,7 +69,7 @@
 
 
 def rank_instances(
-    shared: Iterable[PromptPart], instances: Iterable[str]
+    shared: Iterable[PrefixSegment], instances: Iterable[str]
 ) -> list[str]:
     """Return instances, the one that is to keep the shared parts first."""
     last = tuple(shared)[-1]
--- a/jacinthfold/placement/choice.py
+++ b/jacinthfold/placement/choice.py
@@ -85,8 +85,8 @@
         self._jitter.record_sent(request.service_name, now)
         estimate = choice.estimate
         estimate.is_counted = self._usable.record_sent(target, now)
-        target.record_sent(request.facts.chain, estimate.tokens_to_prefill)
-        shared = request.facts.shared_chain
+        target.record_sent(request.facts.prefixes, estimate.tokens_to_prefill)
+        shared = request.facts.shared_prefixes
         if shared and shared[-1].tokens >= limits.COPY_AT_LEAST_TOKENS:
             uses = self._targets.recent_uses
             uses.record_use(target.record.life, shared[-1].name, now)
@@ -148,7 +148,7 @@
         # queues are short, and what another region could serve is lost.
         if not self._targets.service(request.service_name).is_engine:
             return True
-        if request.is_bound:
+        if request.has_residency:
             return False
         model = self._estimator.latency_model(request.service_name)
         return (
@@ -160,7 +160,7 @@
         self, request: Request, best: Estimate | None
     ) -> RemoteRegion | None:
         """Return the region whose target keeps the shared parts, if any."""
-        shared = request.facts.shared_chain
+        shared = request.facts.shared_prefixes
         if request.is_relayed or not shared:
             return None
         tokens = shared[-1].tokens
@@ -183,7 +183,7 @@
     ) -> list[Target]:
         """Return targets, the shared parts' own one first."""
         shared = self._affinity.shared_segments(
-            request.route.name, request.facts.parts, len(usable)
+            request.route.name, request.facts.prefix_segments, len(usable)
         )
         if not shared:
             return usable
@@ -197,7 +197,7 @@
         is_failing = (
             estimate.target.failing_share > limits.PREFERRED_FAILING_SHARE
         )
-        if is_failing or not request.facts.parts:
+        if is_failing or not request.facts.prefix_segments:
             return False
         elapsed = now - request.received_at
         aim = request.route.aim_seconds
--- a/jacinthfold/placement/target.py
+++ b/jacinthfold/placement/target.py
@@ -7,7 +7,7 @@
 from jacinthfold.placement import limits
 from jacinthfold.placement.prefix_cache import CachedPrefixes
 from jacinthfold.placement.pushback import Pushback
-from jacinthfold.request.messages import ChainLink
+from jacinthfold.request.messages import PromptPrefix
 
 # Weight of the newest answer, and the seconds that are expected and taken
 # before the first one: three answers of an idle engine.
@@ -140,7 +140,7 @@
         return total
 
     def record_sent(
-        self, chain: Iterable[ChainLink], tokens_to_prefill: float
+        self, chain: Iterable[PromptPrefix], tokens_to_prefill: float
     ) -> None:
         """Take that a prompt was sent, of which so much will be read."""
         self.own_prefilled_tokens += tokens_to_prefill
--- a/tests/gateway/test_choice.py
+++ b/tests/gateway/test_choice.py
@@ -40,7 +40,7 @@
     """
     scene = Scene()
     request = prompt(scene, 'subject')
-    chain = [link.name for link in request.facts.shared_chain]
+    chain = [link.name for link in request.facts.shared_prefixes]
     for number in range(data.draw(st.integers(2, 9))):
         place = data.draw(st.sampled_from(['n-1', 's-1']))
         target = scene.add(f'i-{number}', data_centre=place)
@@ -51,7 +51,7 @@
     estimator, now = placer._estimator, scene.clock.monotonic()
     targets = scene.targets.all()
     memory = scene.targets.service('model').memory_tokens
-    shared = request.facts.shared_chain
+    shared = request.facts.shared_prefixes
     every = [
         CopySource(one, kept)
         for one in targets
--- a/tests/gateway/test_kept.py
+++ b/tests/gateway/test_kept.py
@@ -5,15 +5,15 @@
     CachedPrefixes,
     RecentPrefixUses,
 )
-from jacinthfold.request.messages import PromptPart, RequestFacts
+from jacinthfold.request.messages import PrefixSegment, RequestFacts
 
 MEMORY_TOKENS = 100000
 
 
 def chain(*names):
     facts = RequestFacts('id', 'api')
-    facts.parts = tuple(PromptPart(name, 5000) for name in names)
-    return facts.chain
+    facts.prefix_segments = tuple(PrefixSegment(name, 5000) for name in names)
+    return facts.prefixes
 
 
 def test_prefix_that_nobody_sent_is_not_cached():
--- a/tests/gateway/test_leaving_in_answers.py
+++ b/tests/gateway/test_leaving_in_answers.py
@@ -5,7 +5,7 @@
 from jacinthfold.placement import limits
 from jacinthfold.placement.decision import Reject
 from jacinthfold.placement.target import Load
-from jacinthfold.request.messages import AnswerFacts, AnswerHead
+from jacinthfold.request.messages import ResponseFacts, ResponseHead
 from tests.gateway.deployment import pause
 from tests.gateway.http_server import Reply
 from tests.gateway.limited_targets import Callers, born_now, start
@@ -66,9 +66,9 @@
 
 
 def answer(*, is_leaving=True, status=200):
-    facts = AnswerFacts()
+    facts = ResponseFacts()
     facts.is_leaving = is_leaving
-    return AnswerHead(status, [], facts)
+    return ResponseHead(status, [], facts)
 
 
 def receive(scene, target, head):
--- a/tests/gateway/test_rebirth.py
+++ b/tests/gateway/test_rebirth.py
@@ -49,9 +49,9 @@
     assert (again.failing_share, again.slowness) == (0.0, 1.0)
     assert again.ejected_until <= now
     facts = RequestFacts('id', 'api')
-    facts.parts = scene.parts('a', 'b')
-    assert first.cached_prefixes.cached_tokens(facts.chain, 500000) == 2000
-    assert again.cached_prefixes.cached_tokens(facts.chain, 500000) == 0
+    facts.prefix_segments = scene.parts('a', 'b')
+    assert first.cached_prefixes.cached_tokens(facts.prefixes, 500000) == 2000
+    assert again.cached_prefixes.cached_tokens(facts.prefixes, 500000) == 0
     assert again.cold_until > now
     assert again.connection_key != first.connection_key
     assert scene.targets.drop_expired() == [first]
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -31,22 +31,22 @@
     return deployment
 
 
-def read(deployment, path, **options):
+def send_prompt(deployment, path, **options):
     """Return the answer to a prompt."""
     return deployment.ask(
         'north-a', path, 'POST', headers=PROMPT, body=b'prompt', **options
     )
 
 
-def whole(first, last):
+def events(first, last):
     """Return the events of a range as they should arrive."""
     return b''.join(standin.event(number) for number in range(first, last + 1))
 
 
 def test_stream_arrives_whole(engines):
-    answer = read(engines, '/chat/1')
+    answer = send_prompt(engines, '/chat/1')
     assert answer.is_whole
-    assert answer.body == whole(1, 5)
+    assert answer.body == events(1, 5)
     assert answer.headers['response-seal'] == standin.SEAL
 
 
@@ -74,9 +74,9 @@
     """
     for target in engines.targets.values():
         target.script = standin.stream(5, cut_at=3, tail=b'id: 4\nda')
-    answer = read(engines, '/chat/1')
+    answer = send_prompt(engines, '/chat/1')
     assert not answer.is_whole
-    assert answer.body == whole(1, 3)
+    assert answer.body == events(1, 3)
 
 
 def test_cut_stream_goes_on_at_another_engine(engines):
@@ -87,9 +87,9 @@
     """
     for target in engines.targets.values():
         target.script = _cut_first_time
-    answer = read(engines, '/review/1')
+    answer = send_prompt(engines, '/review/1')
     assert answer.is_whole
-    assert answer.body == whole(1, 5)
+    assert answer.body == events(1, 5)
     resumed = [
         one.headers.get('last-event-id')
         for target in engines.targets.values()
@@ -106,8 +106,8 @@
         return await standin.stream(5)(target, request, writer)
 
     for target in engines.targets.values():
-        target.script = _then(from_the_start)
-    assert read(engines, '/review/1').body == whole(1, 5)
+        target.script = _cut_then_resume(from_the_start)
+    assert send_prompt(engines, '/review/1').body == events(1, 5)
 
 
 def test_silent_engine_is_left_for_another(engines):
@@ -130,8 +130,8 @@
 
     for target in engines.targets.values():
         target.script = first
-    answer = read(engines, '/review/1', seconds=10)
-    assert answer.body == whole(1, 5)
+    answer = send_prompt(engines, '/review/1', seconds=10)
+    assert answer.body == events(1, 5)
 
 
 def test_busy_engine_is_not_left_for_another(engines):
@@ -152,13 +152,13 @@
     for target in targets:
         target.executed.clear()
         target.script = standin.late(2.0, standin.stream(5))
-    answer = read(engines, '/review/1', seconds=10)
-    assert answer.body == whole(1, 5)
+    answer = send_prompt(engines, '/review/1', seconds=10)
+    assert answer.body == events(1, 5)
     assert sum(len(one.executed) for one in targets) == 1
     other.close()
 
 
-def test_silence_ends_no_answer_that_nobody_else_can_bring(engines):
+def test_soft_timeout_does_not_end_the_last_attempt(engines):
     """An engine pauses for 1.4 s in its answer; it is the last attempt.
 
     Left for its silence, the answer ends broken though the rest was on its
@@ -171,14 +171,15 @@
         ),
     )
     wait_until(
-        lambda: read(engines, '/last/0').status == 200, 'the route is in force'
+        lambda: send_prompt(engines, '/last/0').status == 200,
+        'the route is in force',
     )
     for target in engines.targets.values():
         target.executed.clear()
         target.script = standin.stream(3, pause_seconds=1.4)
-    answer = read(engines, '/last/1', seconds=12)
+    answer = send_prompt(engines, '/last/1', seconds=12)
     assert answer.is_whole
-    assert answer.body == whole(1, 3)
+    assert answer.body == events(1, 3)
 
 
 def test_stream_resumed_by_its_caller_goes_on(engines):
@@ -189,10 +190,10 @@
         headers=[*PROMPT, ('Last-Event-Id', '2')],
         body=b'prompt',
     )
-    assert answer.body == whole(3, 5)
+    assert answer.body == events(3, 5)
 
 
-def test_failure_of_a_repeatable_stream_is_made_good(engines):
+def test_failure_of_a_repeatable_stream_is_retried(engines):
     async def fail_once(target, request, writer):
         for one in engines.targets.values():
             one.script = standin.stream(5)
@@ -200,14 +201,14 @@
 
     for target in engines.targets.values():
         target.script = fail_once
-    answer = read(engines, '/review/1')
-    assert (answer.status, answer.body) == (200, whole(1, 5))
+    answer = send_prompt(engines, '/review/1')
+    assert (answer.status, answer.body) == (200, events(1, 5))
 
 
-def test_subject_stays_with_one_engine(engines):
+def test_prompts_with_a_shared_prefix_stay_with_one_engine(engines):
     """Prompts that share their first parts are read where these are kept."""
     for _ in range(6):
-        read(engines, '/chat/1')
+        send_prompt(engines, '/chat/1')
     counts = sorted(len(one.executed) for one in engines.targets.values())
     assert counts == [0, 6]
 
@@ -219,7 +220,7 @@
     return await script(target, request, writer)
 
 
-def _then(later):
+def _cut_then_resume(later):
     async def script(target, request, writer):
         if 'last-event-id' in request.headers:
             return await later(target, request, writer)
--- a/tests/gateway/test_target_rest.py
+++ b/tests/gateway/test_target_rest.py
@@ -7,8 +7,8 @@
 from jacinthfold.placement.backoff import PROBE_SECONDS
 from jacinthfold.placement.decision import Reject
 from jacinthfold.placement.retry_schedule import MAX_RETRY_AFTER_SECONDS
-from jacinthfold.proxy.outcome import told_outcome
-from jacinthfold.request.messages import AnswerFacts, AnswerHead
+from jacinthfold.proxy.outcome import outcome_from_head
+from jacinthfold.request.messages import ResponseFacts, ResponseHead
 from tests.gateway.deployment import pause
 from tests.gateway.http_server import Reply
 from tests.gateway.limited_targets import Callers, born_now, start
@@ -71,10 +71,10 @@
 
 
 def refused(seconds):
-    facts = AnswerFacts()
+    facts = ResponseFacts()
     facts.is_not_run = True
-    facts.rest_seconds = seconds
-    return AnswerHead(503, [], facts)
+    facts.backoff_seconds = seconds
+    return ResponseHead(503, [], facts)
 
 
 def receive(scene, target, head, sent_at=None):
@@ -106,7 +106,7 @@
     assert send(scene) is target
     sent_at = scene.clock.monotonic()
     scene.clock.advance(0.1)
-    receive(scene, target, AnswerHead(200, [], AnswerFacts()), sent_at)
+    receive(scene, target, ResponseHead(200, [], ResponseFacts()), sent_at)
     assert send(scene) is target
     assert send(scene) is target
 
@@ -118,7 +118,7 @@
     sent_at = scene.clock.monotonic()
     scene.clock.advance(0.5)
     receive(scene, target, refused(2.0))
-    receive(scene, target, AnswerHead(200, [], AnswerFacts()), sent_at)
+    receive(scene, target, ResponseHead(200, [], ResponseFacts()), sent_at)
     assert isinstance(send(scene), Reject)
 
 
@@ -198,6 +198,6 @@
 
 def test_backoff_is_not_counted_as_a_failure():
     """Guards against targets that stay unused long after their rest."""
-    outcome = told_outcome(refused(3.0), is_peer=False)
+    outcome = outcome_from_head(refused(3.0), is_peer=False)
     assert outcome.is_pushback
-    assert not told_outcome(refused(None), is_peer=False).is_pushback
+    assert not outcome_from_head(refused(None), is_peer=False).is_pushback
