--- a/jacinthfold/proxy/attempts.py
+++ b/jacinthfold/proxy/attempts.py
@@ -19,7 +19,7 @@
 from jacinthfold.proxy.outcome import Ending, Outcome, outcome_from_head
 from jacinthfold.proxy.progress import Progress
 from jacinthfold.proxy.response_timeout import ResponseTimeout
-from jacinthfold.quarantine.witness import Witness
+from jacinthfold.quarantine.crash_detector import CrashDetector
 from jacinthfold.request.messages import Headers, Request
 from jacinthfold.transport.dialect import Dialect
 from jacinthfold.transport.errors import ConnectFailedError, ProxyError
@@ -60,7 +60,7 @@
         budgets: RetryBudgets,
         dialect: Dialect,
         metrics: ProxyMetrics,
-        crash_detector: Witness,
+        crash_detector: CrashDetector,
         clock: Clock,
     ) -> None:
         """Take the connections and the parts that learn from attempts."""
@@ -97,8 +97,10 @@
             request, progress, lambda: target.last_received_at
         )
         delivery = Delivery(request, response, progress, timeout, self._clock)
-        attempt = self._crash_detector.begin(request, target, delivery.withdraw)
-        delivery.on_activity = partial(attempt.note_heard, self._clock)
+        attempt = self._crash_detector.start_attempt(
+            request, target, delivery.withdraw
+        )
+        delivery.on_activity = partial(attempt.record_activity, self._clock)
         began_at = self._clock.monotonic()
         load = in_flight_load.InFlightLoad(estimate, request)
         delivery.on_first_event = load.record_prefilled
@@ -118,7 +120,7 @@
             )
         finally:
             load.release()
-            self._crash_detector.note_over(
+            self._crash_detector.record_finish(
                 attempt,
                 delivery.first_event_at,
                 is_broken=delivery.is_broken,
--- a/jacinthfold/proxy/forwarding.py
+++ b/jacinthfold/proxy/forwarding.py
@@ -125,7 +125,7 @@
         self, request: Request, response: CallerResponse
     ) -> None:
         if response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
-            self._quarantine.note_served(request)
+            self._quarantine.record_served(request)
 
     async def _attempt(
         self,
--- a/tools/ablations/quarantine.py
+++ b/tools/ablations/quarantine.py
@@ -17,19 +17,19 @@
             ),
         ],
         PROCESSES
-        + 'test_request_that_ends_targets_is_not_sent_to_more[/ask/x]',
+        + 'test_request_that_crashes_targets_is_not_sent_to_more[/ask/x]',
     ),
     Ablation(
         'quarantine: hosts add up what each of them saw',
         [
             (
                 'fleet/heartbeats.py',
-                '        self.content.suspects.take(heartbeat.suspects, is_near=is_near)',
+                '        self.content.suspects.merge_reports(heartbeat.suspects, is_near=is_near)',
                 '',
             ),
         ],
         WORDS
-        + 'test_all_hosts_of_a_region_hear_of_ends_that_three_saw[8-0.03]',
+        + 'test_all_hosts_of_a_region_learn_of_crashes_seen_by_three[8-0.03]',
     ),
     Ablation(
         'quarantine: collectors tell it',
@@ -41,30 +41,30 @@
             ),
         ],
         WORDS
-        + 'test_all_hosts_of_a_region_hear_of_ends_that_three_saw[65-0.03]',
+        + 'test_all_hosts_of_a_region_learn_of_crashes_seen_by_three[65-0.03]',
     ),
     Ablation(
         'quarantine: neighbours go on telling what is refused',
         [('quarantine/suspects.py', 'if is_full:', 'if False:')],
-        WORDS + 'test_hosts_that_saw_the_ends_may_all_be_replaced',
+        WORDS + 'test_hosts_that_observed_the_crashes_may_all_be_replaced',
     ),
     Ablation(
         'quarantine: the store outlives all hosts',
         [
             (
                 'quarantine/quarantine.py',
-                'if suspect.is_witnessed and len',
+                'if suspect.is_observed_here and len',
                 'if False and len',
             ),
         ],
-        PROCESSES + 'test_hosts_that_all_restart_read_it_from_the_store',
+        PROCESSES + 'test_hosts_that_all_restart_read_crashes_from_the_store',
     ),
     Ablation(
         'quarantine: an answer clears a request',
         [
             (
                 'quarantine/suspects.py',
-                '            self._clear(fingerprint, suspect, self._now_ms(), is_own=True)',
+                '            self._clear(fingerprint, suspect, self._now_ms(), is_new_in_region=True)',
                 '            return',
             ),
         ],
@@ -74,20 +74,20 @@
         'quarantine: queued requests weigh half',
         [
             (
-                'quarantine/ends.py',
-                'BEGUN, WAITING = 2, 1',
-                'BEGUN, WAITING = 2, 2',
+                'quarantine/crashes.py',
+                'RUNNING_WEIGHT, QUEUED_WEIGHT = 2, 1',
+                'RUNNING_WEIGHT, QUEUED_WEIGHT = 2, 2',
             )
         ],
-        WORDS + 'test_request_that_waited_at_three_ends_is_not_refused',
+        WORDS + 'test_request_queued_at_three_crashes_is_not_refused',
     ),
     Ablation(
         'quarantine: ends that a likelier request explains do not count',
         [
             (
                 'quarantine/suspects.py',
-                'if left <= 0 or self._is_explained(fingerprint, suspect):',
-                'if left <= 0:',
+                'if remaining <= 0 or self._is_explained(fingerprint, suspect):',
+                'if remaining <= 0:',
             ),
         ],
         WORDS + 'test_stream_that_runs_beside_the_culprit_is_not_refused',
@@ -101,34 +101,45 @@
                 'list(self._suspects)[:excess]',
             ),
         ],
-        WORDS + 'test_flood_of_other_bodies_does_not_push_a_suspect_out',
+        WORDS + 'test_flood_of_other_bodies_does_not_displace_a_suspect',
     ),
     Ablation(
         'quarantine: a broken connection is no end',
-        [('quarantine/witness.py', 'if listens is False:', 'if True:')],
-        WITNESS + 'test_broken_connections_of_a_target_that_listens_are_no_end',
+        [
+            (
+                'quarantine/crash_detector.py',
+                'if is_listening is False:',
+                'if True:',
+            )
+        ],
+        WITNESS + 'test_broken_connections_of_a_listening_target_are_no_crash',
     ),
     Ablation(
         'quarantine: a planned end is no fault',
         [
             (
-                'quarantine/witness.py',
+                'quarantine/crash_detector.py',
                 'if target.last_resort_until is not None:',
                 'if False:',
             ),
         ],
-        WITNESS + 'test_target_that_was_leaving_has_not_been_ended',
+        WITNESS + 'test_target_that_was_leaving_has_not_crashed',
     ),
     Ablation(
         'quarantine: a lost rack is no fault',
-        [('quarantine/witness.py', 'if not together:', 'if True:')],
-        WITNESS + 'test_targets_that_end_together_lost_their_rack',
+        [('quarantine/crash_detector.py', 'if not simultaneous:', 'if True:')],
+        WITNESS + 'test_simultaneous_crashes_are_a_lost_rack',
     ),
     Ablation(
         'quarantine: an overrun cold target is no fault',
-        [('quarantine/witness.py', '0 < pace < sends', 'sends < 0')],
-        WITNESS
-        + 'test_cold_target_that_got_too_much_was_not_ended_by_one_request',
+        [
+            (
+                'quarantine/crash_detector.py',
+                '0 < overrun_rate < send_count',
+                'send_count < 0',
+            )
+        ],
+        WITNESS + 'test_crash_of_an_overloaded_cold_target_blames_no_request',
     ),
     Ablation(
         'quarantine: the caller belongs to the request',
@@ -144,7 +155,7 @@
     Ablation(
         'quarantine: copies that wait elsewhere are taken back',
         [('quarantine/quarantine.py', 'attempt.withdraw()', 'pass')],
-        PROCESSES + 'test_copy_that_waits_elsewhere_is_taken_back',
+        PROCESSES + 'test_copy_queued_elsewhere_is_withdrawn',
     ),
     Ablation(
         'quarantine: hosts run by intents refuse it',
@@ -162,11 +173,11 @@
         'quarantine: whether heads tell is learned',
         [
             (
-                'quarantine/witness.py',
-                'is_begun=attempt.is_begun or not self._heads_tell(target)',
-                'is_begun=attempt.is_begun',
+                'quarantine/crash_detector.py',
+                'is_started=attempt.is_started or not self._heads_are_early(target)',
+                'is_started=attempt.is_started',
             ),
         ],
-        WITNESS + 'test_heads_that_come_with_the_first_event_tell_nothing',
+        WITNESS + 'test_heads_that_come_with_the_first_event_are_ignored',
     ),
 ]
