--- a/tests/gateway/test_life.py
+++ b/tests/gateway/test_life.py
@@ -19,7 +19,7 @@
 
 
 @pytest.fixture
-def desk(deployment):
+def ready_deployment(deployment):
     """Give one target of a plain service and one engine behind a host."""
     deployment.put_routes(route('/order/'), route('/chat/', 'model', 'stream'))
     deployment.add_target('i-1', 'desk')
@@ -29,17 +29,21 @@
     return deployment
 
 
-def test_stop_cuts_nothing_that_is_in_flight(desk):
+def test_stop_cuts_nothing_that_is_in_flight(ready_deployment):
     """SIGTERM comes while a stream of a second is on its way.
 
     The host says at once that it is not ready, the stream ends whole, its
     connection is closed behind it, and the process ends with status 0.
     """
-    desk.targets['i-2'].script = standin.stream(10, pause_seconds=0.1)
-    host = desk.hosts['north-a']
+    ready_deployment.targets['i-2'].script = standin.stream(
+        10, pause_seconds=0.1
+    )
+    host = ready_deployment.hosts['north-a']
     connection = Connection(host.callers)
     connection.send('/chat/1', 'POST', body=b'p', request_id=new_id())
-    wait_until(lambda: desk.targets['i-2'].executed, 'the stream has begun')
+    wait_until(
+        lambda: ready_deployment.targets['i-2'].executed, 'the stream has begun'
+    )
     host.signal(signal.SIGTERM)
     wait_until(
         lambda: call(host.ready, '/api/readiness').status == 503,
@@ -53,23 +57,27 @@
     assert 'event=host_stopped' in host.log()
 
 
-def test_leaving_host_refuses_what_it_could_not_end(desk):
+def test_draining_host_rejects_what_it_cannot_complete(ready_deployment):
     """A long stream is asked for late in the grace.
 
     Taken, it would be cut by the end of the process; refused at once, the
     caller has it served by another host.
     """
-    host = desk.hosts['north-a']
-    desk.targets['i-2'].script = standin.stream(35, pause_seconds=0.1)
+    host = ready_deployment.hosts['north-a']
+    ready_deployment.targets['i-2'].script = standin.stream(
+        35, pause_seconds=0.1
+    )
     in_flight = Connection(host.callers)
     in_flight.send('/chat/0', 'POST', body=b'p', request_id=new_id())
-    wait_until(lambda: desk.targets['i-2'].executed, 'the stream has begun')
-    desk.targets['i-2'].script = standin.stream(3)
+    wait_until(
+        lambda: ready_deployment.targets['i-2'].executed, 'the stream has begun'
+    )
+    ready_deployment.targets['i-2'].script = standin.stream(3)
     host.signal(signal.SIGTERM)
     statuses = set()
 
-    def is_refused():
-        answer = desk.ask(
+    def is_rejected():
+        answer = ready_deployment.ask(
             'north-a',
             '/chat/1',
             'POST',
@@ -79,34 +87,39 @@
         statuses.add(answer.status)
         return answer.status == 503
 
-    wait_until(is_refused, 'a long stream is refused')
-    assert desk.ask('north-a', '/order/1', 'POST', seconds=1).status == 200
+    wait_until(is_rejected, 'a long stream is refused')
+    assert (
+        ready_deployment.ask('north-a', '/order/1', 'POST', seconds=1).status
+        == 200
+    )
     assert statuses <= {200, 503}
     assert in_flight.receive().is_whole
     in_flight.close()
 
 
-def test_reload_changes_nothing_that_is_in_flight(desk):
+def test_reload_changes_nothing_that_is_in_flight(ready_deployment):
     """SIGHUP, whose default action would end the process."""
-    host = desk.hosts['north-a']
+    host = ready_deployment.hosts['north-a']
     connection = Connection(host.callers)
-    desk.targets['i-2'].script = standin.stream(10, pause_seconds=0.05)
+    ready_deployment.targets['i-2'].script = standin.stream(
+        10, pause_seconds=0.05
+    )
     connection.send('/chat/1', 'POST', body=b'p', request_id=new_id())
     host.signal(signal.SIGHUP)
-    desk.wait_log('north-a', 'event=settings_reloaded')
+    ready_deployment.wait_log('north-a', 'event=settings_reloaded')
     assert connection.receive().is_whole
     connection.close()
 
 
-def test_faulty_settings_are_not_taken_over(desk):
-    host = desk.hosts['north-a']
+def test_faulty_settings_are_not_taken_over(ready_deployment):
+    host = ready_deployment.hosts['north-a']
     host.settings_path.write_text('[host]\nname = only\n')
     host.signal(signal.SIGHUP)
-    desk.wait_log('north-a', 'event=reload_failed')
-    assert desk.ask('north-a', '/order/1').status == 200
+    ready_deployment.wait_log('north-a', 'event=reload_failed')
+    assert ready_deployment.ask('north-a', '/order/1').status == 200
 
 
-def test_reader_of_logs_that_stands_still_stops_nothing(deployment):
+def test_stalled_log_reader_does_not_block_a_host(deployment):
     """Nobody reads the standard output; its pipe fills up.
 
     A host that waited for the reader would serve nothing any more. Lines are
@@ -124,45 +137,49 @@
     assert host.process.poll() is None
 
 
-def test_connection_that_sends_nothing_holds_nothing(desk):
-    with socket.create_connection(desk.hosts['north-a'].callers):
-        assert desk.ask('north-a', '/order/1').status == 200
+def test_idle_connection_blocks_nothing(ready_deployment):
+    with socket.create_connection(ready_deployment.hosts['north-a'].callers):
+        assert ready_deployment.ask('north-a', '/order/1').status == 200
 
 
-def test_frozen_host_serves_again_when_it_wakes(desk):
-    host = desk.hosts['north-a']
+def test_frozen_host_serves_again_when_it_wakes(ready_deployment):
+    host = ready_deployment.hosts['north-a']
     host.signal(signal.SIGSTOP)
-    desk.put_routes(route('/order/'), route('/quote/'))
+    ready_deployment.put_routes(route('/order/'), route('/quote/'))
     host.signal(signal.SIGCONT)
-    wait_served(desk, 'north-a', '/quote/1')
+    wait_served(ready_deployment, 'north-a', '/quote/1')
 
 
-def test_killed_host_is_known_again_under_its_name(desk):
+def test_restarted_host_replaces_its_earlier_record(ready_deployment):
     """A host is killed and started again before its lease has ended.
 
     Its record in the store is that of the earlier process; the later one
     writes over it and is the one that others hear.
     """
-    desk.start_host('north-b')
-    desk.wait_log('north-b', 'event=host_heard')
-    desk.hosts['north-a'].kill()
-    desk.hosts['north-a'].start()
-    desk.wait_ready('north-a')
+    ready_deployment.start_host('north-b')
+    ready_deployment.wait_log('north-b', 'event=host_heard')
+    ready_deployment.hosts['north-a'].kill()
+    ready_deployment.hosts['north-a'].start()
+    ready_deployment.wait_ready('north-a')
     wait_until(
-        lambda: desk.hosts['north-b'].log().count('event=host_heard') >= 2,
+        lambda: (
+            ready_deployment.hosts['north-b'].log().count('event=host_heard')
+            >= 2
+        ),
         'north-b hears the later process',
     )
-    wait_served(desk, 'north-a', '/order/1')
+    wait_served(ready_deployment, 'north-a', '/order/1')
 
 
-def test_lost_answers_of_the_store_don_t_unregister_a_host(desk):
+def test_lost_store_responses_do_not_unregister_a_host(ready_deployment):
     """Writes are applied and their answers lost; the host tries again."""
-    desk.store.loses_answers = True
-    desk.make_host('north-b').start()
-    desk.wait_log('north-b', 'event=registration_failed')
-    desk.store.loses_answers = False
+    ready_deployment.store.loses_answers = True
+    ready_deployment.make_host('north-b').start()
+    ready_deployment.wait_log('north-b', 'event=registration_failed')
+    ready_deployment.store.loses_answers = False
     wait_until(
-        lambda: 'hosts/north-b' in desk.store.items, 'north-b is registered'
+        lambda: 'hosts/north-b' in ready_deployment.store.items,
+        'north-b is registered',
     )
 
 
@@ -196,14 +213,17 @@
         deployment.wait_ready('north-a')
 
 
-def test_leaving_host_does_not_register_again(desk):
+def test_leaving_host_does_not_register_again(ready_deployment):
     """A host stops and ends its lease, then serves on for some seconds.
 
     Its next renewal finds no lease. Taken for one that lapsed, the host would
     register anew, and its record would outlive its process.
     """
-    host = desk.hosts['north-a']
-    wait_until(lambda: 'hosts/north-a' in desk.store.items, 'it is registered')
+    host = ready_deployment.hosts['north-a']
+    wait_until(
+        lambda: 'hosts/north-a' in ready_deployment.store.items,
+        'it is registered',
+    )
     host.signal(signal.SIGTERM)
     assert host.process.wait(30) == 0
-    assert 'hosts/north-a' not in desk.store.items
+    assert 'hosts/north-a' not in ready_deployment.store.items
--- a/tests/gateway/test_other_writers.py
+++ b/tests/gateway/test_other_writers.py
@@ -23,7 +23,7 @@
 )
 
 NESTED = b'[' * 100000
-SPOILED = {
+MALFORMED_FIELDS = {
     'address is a number': {'address': 8},
     'address without port': {'address': '10.0.0.1'},
     'address with a name': {'address': 'store:80'},
@@ -44,8 +44,8 @@
     'start is null': {'born': None},
     'start is enormous': {'born': 10**30},
 }
-UNREADABLE = [
-    json.dumps(entry(**fields)).encode() for fields in SPOILED.values()
+UNREADABLE_CONTENTS = [
+    json.dumps(entry(**fields)).encode() for fields in MALFORMED_FIELDS.values()
 ] + [
     json.dumps(entry()).replace('"slots": 4', '"slots": 1e999').encode(),
     b'{"backend":"b","x":' + NESTED,
@@ -56,76 +56,78 @@
 ]
 
 
-@pytest.mark.parametrize('content', UNREADABLE, ids=range(len(UNREADABLE)))
-def test_spoiled_entry_names_no_target(content):
+@pytest.mark.parametrize(
+    'content', UNREADABLE_CONTENTS, ids=range(len(UNREADABLE_CONTENTS))
+)
+def test_malformed_record_adds_no_target(content):
     """Another writer puts an entry among the targets.
 
     Taken for a target it would get requests that nothing answers; raised as
     an error nobody expects it would end the task that follows the store, and
     every later change would be missed.
     """
-    made, heard = catalogue()
-    made.apply([Record('servers/x', 1, content), target('i', 2)], 2)
-    assert heard == [('target', 'i')]
+    records, notifications = catalogue()
+    records.apply([Record('servers/x', 1, content), target('i', 2)], 2)
+    assert notifications == [('target', 'i')]
 
 
 @pytest.mark.parametrize('name', sorted(entry()))
-def test_entry_with_a_missing_field_names_no_target(name):
+def test_record_with_a_missing_field_adds_no_target(name):
     document = entry()
     document.pop(name)
-    made, heard = catalogue()
-    made.apply([Record('servers/x', 1, json.dumps(document).encode())], 1)
-    assert not heard
+    records, notifications = catalogue()
+    records.apply([Record('servers/x', 1, json.dumps(document).encode())], 1)
+    assert not notifications
 
 
-def test_target_whose_entry_is_spoiled_is_used_no_more():
+def test_target_with_an_overwritten_record_is_removed():
     """A target's entry is overwritten with bytes that say nothing.
 
     The entry as it was before no longer holds. The target's own next entry
     brings it back.
     """
     clock = FakeClock()
-    made = Catalogue(PlatformReader(), decode_host, clock)
+    records = Catalogue(PlatformReader(), decode_host, clock)
     targets = TargetTable({'z': 'north'}, clock)
     listener = Listener()
     listener.on_target = targets.put
     listener.on_target_removed = targets.remove
-    made.subscribe(listener)
-    made.apply([target('i', 1)], 1)
-    made.apply([Record('servers/i', 2, b'spoiled')], 2)
+    records.subscribe(listener)
+    records.apply([target('i', 1)], 1)
+    records.apply([Record('servers/i', 2, b'spoiled')], 2)
     assert targets.find('i').last_resort_until is not None
-    made.apply([target('i', 3, seq=2)], 3)
+    records.apply([target('i', 3, seq=2)], 3)
     assert targets.find('i').last_resort_until is None
     assert not targets.find('i').is_removed
 
 
 def test_unreadable_configuration_leaves_the_one_in_force():
-    made, heard = catalogue()
-    made.apply([configuration(7, 1)], 1)
-    spoiled = [
+    records, notifications = catalogue()
+    records.apply([configuration(7, 1)], 1)
+    malformed = [
         b'{"version":8,"routes":7,"backends":[]}',
         b'{"version":8,"routes":[{"name":1}],"backends":[]}',
         b'{"version":8,"backends":[],"routes":[],"limits":7}',
         b'{"version":1e999,"backends":[],"routes":[]}',
         NESTED,
     ]
-    for number, content in enumerate(spoiled):
-        made.apply([Record('op/config', 2 + number, content)], 2 + number)
-    assert heard == [('routes', 7)]
-    assert made.routes.version == 7
+    for number, content in enumerate(malformed):
+        records.apply([Record('op/config', 2 + number, content)], 2 + number)
+    assert notifications == [('routes', 7)]
+    assert records.routes.version == 7
 
 
-def test_unreadable_host_record_names_no_host():
-    made, heard = catalogue()
-    spoiled = [
+def test_unreadable_host_record_adds_no_host():
+    records, notifications = catalogue()
+    malformed = [
         b'{"name":1}',
         b'{"name":"h","incarnation":"1","region":"n","data_centre":"n-1",'
         b'"address":"10.0.0.1","ports":[1,2,3]}',
         NESTED,
     ]
-    for number, content in enumerate(spoiled):
-        made.apply([Record('hosts/h', 1 + number, content)], 1 + number)
-    assert ('host', 'h', True) not in heard
+    for number, content in enumerate(malformed):
+        records.apply([Record('hosts/h', 1 + number, content)], 1 + number)
+    assert ('host', 'h', True) not in notifications
 
 
 keys = st.sampled_from(
@@ -138,7 +140,7 @@
         st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
         lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
         max_leaves=8,
-    ).map(lambda made: json.dumps(made).encode()),
+    ).map(lambda records: json.dumps(records).encode()),
     st.dictionaries(
         st.sampled_from([*entry(), 'born', 'remaining-ms']),
         st.none() | st.integers() | st.floats() | st.text(max_size=9),
@@ -147,16 +149,16 @@
 
 
 @given(st.lists(st.tuples(keys, st.integers(1, 40), values), max_size=12))
-def test_any_bytes_at_any_key_are_survived(items):
-    made, heard = catalogue()
+def test_any_record_at_any_key_is_tolerated(items):
+    records, notifications = catalogue()
     for key, revision, content in items:
-        made.apply([Record(key, revision, content)], revision)
-    made.apply([target('sound', 50)], 50)
-    assert heard[-1] == ('target', 'sound')
-    assert made.revision == 50
+        records.apply([Record(key, revision, content)], revision)
+    records.apply([target('sound', 50)], 50)
+    assert notifications[-1] == ('target', 'sound')
+    assert records.revision == 50
 
 
-def test_duty_that_fails_runs_again():
+def test_failed_background_task_is_restarted():
     """The task that follows the store meets an error that nobody foresaw.
 
     Left dead, the host looks well and follows nothing; ended with its
@@ -177,13 +179,13 @@
             await asyncio.Event().wait()
 
     async def follow():
-        made, heard = catalogue()
-        follower = Follower(FailingStore(), made, FakeClock())
+        records, notifications = catalogue()
+        follower = Follower(FailingStore(), records, FakeClock())
         task = asyncio.get_running_loop().create_task(supervised(follower.run))
-        while not heard:
+        while not notifications:
             await asyncio.sleep(0.01)
         task.cancel()
-        return heard
+        return notifications
 
-    heard = asyncio.run(asyncio.wait_for(follow(), 30))
-    assert heard == [('target', 'i')]
+    notifications = asyncio.run(asyncio.wait_for(follow(), 30))
+    assert notifications == [('target', 'i')]
--- a/tests/gateway/test_translation.py
+++ b/tests/gateway/test_translation.py
@@ -16,7 +16,7 @@
 from jacinthfold.gateway import settings
 from jacinthfold.placement.regions import RegionView
 from jacinthfold.placement.targets import TargetTable
-from jacinthfold.platform.dialect import MOST_REST_SECONDS, PlatformDialect
+from jacinthfold.platform.dialect import MAX_BACKOFF_SECONDS, PlatformDialect
 from jacinthfold.platform.documents import PlatformReader
 from jacinthfold.proxy.events import EventSplitter
 from jacinthfold.request.messages import Request, without_framing
@@ -30,35 +30,35 @@
     """Keep what a catalogue tells."""
 
     def __init__(self):
-        self.heard = []
+        self.notifications = []
 
     def on_routes(self, table):
-        self.heard.append(('routes', table.version))
+        self.notifications.append(('routes', table.version))
 
     def on_target(self, record):
-        self.heard.append(('target', record.instance))
+        self.notifications.append(('target', record.instance))
 
     def on_target_removed(self, instance):
-        self.heard.append(('removed', instance))
+        self.notifications.append(('removed', instance))
 
     def on_evacuation(self, data_centre, is_evacuated):
-        self.heard.append(('evacuation', data_centre, is_evacuated))
+        self.notifications.append(('evacuation', data_centre, is_evacuated))
 
     def on_host(self, record, name):
-        self.heard.append(('host', name, record is not None))
+        self.notifications.append(('host', name, record is not None))
 
     def on_quarantine(self, name, content):
-        self.heard.append(('quarantine', name, content))
+        self.notifications.append(('quarantine', name, content))
 
     def on_issuer(self, name, record):
-        self.heard.append(('issuer', name, record.content))
+        self.notifications.append(('issuer', name, record.content))
 
 
 def catalogue(clock=None):
-    made = Catalogue(PlatformReader(), decode_host, clock or FakeClock())
+    records = Catalogue(PlatformReader(), decode_host, clock or FakeClock())
     listener = Listener()
-    made.subscribe(listener)
-    return made, listener.heard
+    records.subscribe(listener)
+    return records, listener.notifications
 
 
 def target(instance, revision, **fields):
@@ -92,7 +92,7 @@
     return Record('op/config', revision, json.dumps(document).encode())
 
 
-def test_kinds_of_requests_decide_what_may_be_repeated():
+def test_route_type_determines_the_retry_policy():
     kinds = {
         'plain': route('/a/'),
         'whole': route('/b/', kind='idempotent'),
@@ -122,49 +122,49 @@
     entry.pop('backend')
     entry['weighted-backends'] = split
     document = {'version': 1, 'routes': [entry], 'backends': []}
-    made = PlatformReader().read_routes(json.dumps(document).encode())
-    chosen = [made.routes[0].service_for(f'id-{n}') for n in range(2000)]
-    again = [made.routes[0].service_for(f'id-{n}') for n in range(2000)]
+    table = PlatformReader().read_routes(json.dumps(document).encode())
+    chosen = [table.routes[0].service_for(f'id-{n}') for n in range(2000)]
+    again = [table.routes[0].service_for(f'id-{n}') for n in range(2000)]
     assert chosen == again
     assert 0.07 < chosen.count('b') / 2000 < 0.13
 
 
 def test_late_change_does_not_undo_a_newer_one():
-    made, heard = catalogue()
-    made.apply([target('i', 5)], 5)
-    made.apply([target('i', 3, state='draining')], 3)
-    assert heard == [('target', 'i')]
-    assert made.revision == 5
+    records, notifications = catalogue()
+    records.apply([target('i', 5)], 5)
+    records.apply([target('i', 3, state='draining')], 3)
+    assert notifications == [('target', 'i')]
+    assert records.revision == 5
 
 
-def test_list_shows_what_is_missing():
-    made, heard = catalogue()
-    made.apply([target('i', 2), target('k', 3)], 3)
-    made.replace([target('k', 3)], 9)
-    assert heard[-1] == ('removed', 'i')
+def test_list_removes_missing_targets():
+    records, notifications = catalogue()
+    records.apply([target('i', 2), target('k', 3)], 3)
+    records.replace([target('k', 3)], 9)
+    assert notifications[-1] == ('removed', 'i')
 
 
 def test_list_that_is_older_than_what_is_known_is_ignored():
-    made, heard = catalogue()
-    made.apply([target('i', 8)], 8)
-    made.replace([], 5)
-    assert heard == [('target', 'i')]
+    records, notifications = catalogue()
+    records.apply([target('i', 8)], 8)
+    records.replace([], 5)
+    assert notifications == [('target', 'i')]
 
 
 def test_older_version_at_a_later_revision_is_ignored():
-    made, heard = catalogue()
-    made.apply([configuration(7, 1)], 1)
-    made.apply([configuration(4, 2)], 2)
-    assert heard == [('routes', 7)]
+    records, notifications = catalogue()
+    records.apply([configuration(7, 1)], 1)
+    records.apply([configuration(4, 2)], 2)
+    assert notifications == [('routes', 7)]
 
 
 def test_unreadable_record_does_not_stop_the_others():
-    made, heard = catalogue()
-    made.apply([Record('servers/x', 1, b'{not json'), target('i', 2)], 2)
-    assert heard == [('target', 'i')]
+    records, notifications = catalogue()
+    records.apply([Record('servers/x', 1, b'{not json'), target('i', 2)], 2)
+    assert notifications == [('target', 'i')]
 
 
-def test_keys_tell_what_records_are():
+def test_keys_determine_record_kinds():
     reader = PlatformReader()
     assert reader.kind_of('servers/i')[0] is Kind.TARGET
     assert reader.kind_of('op/evacuate/z') == (Kind.EVACUATION, 'z')
@@ -194,14 +194,14 @@
     dialect = PlatformDialect()
     headers = [(b'Host', b'a'), (b'Request-Deadline', b'9000'), (b'X', b'y')]
     request = Request(b'GET', b'/', headers, b'', dialect.read_request(headers))
-    made = dict(
+    sent_headers = dict(
         dialect.target_headers(
             request, instance='i-1', remaining_seconds=1.234, last_event_id=''
         )
     )
-    assert made[b'Request-Deadline'] == b'1234'
-    assert made[b'Target-Instance'] == b'i-1'
-    assert made[b'X'] == b'y'
+    assert sent_headers[b'Request-Deadline'] == b'1234'
+    assert sent_headers[b'Target-Instance'] == b'i-1'
+    assert sent_headers[b'X'] == b'y'
 
 
 def test_headers_about_the_connection_are_not_passed_on():
@@ -217,7 +217,7 @@
 
 
 @given(st.integers(1, 40), st.lists(st.integers(1, 30), max_size=40))
-def test_events_survive_any_cut_of_the_bytes(total, sizes):
+def test_events_stay_whole_for_any_chunking(total, sizes):
     wire = b''.join(b'id: %d\ndata: x\n\n' % n for n in range(1, total + 1))
     splitter = EventSplitter()
     passed, rest = b'', wire
@@ -243,7 +243,7 @@
 def heartbeats(name, clock):
     own = HostRecord(name, 7, ('north', 'n-1'), '127.0.0.1', (1, 2, 3))
     hosts = HostTable(own, clock)
-    made = Heartbeats(
+    sender = Heartbeats(
         hosts,
         Catalogue(PlatformReader(), decode_host, clock),
         TargetTable({}, clock),
@@ -251,13 +251,13 @@
         None,
         clock,
     )
-    return made, hosts
+    return sender, hosts
 
 
 @given(st.binary(max_size=200))
-def test_any_datagram_is_survived(content):
-    made, hosts = heartbeats('a', FakeClock())
-    made.datagram_received(content, ('127.0.0.1', 1))
+def test_any_datagram_is_tolerated(content):
+    receiver, hosts = heartbeats('a', FakeClock())
+    receiver.datagram_received(content, ('127.0.0.1', 1))
     assert not hosts.others()
 
 
@@ -332,7 +332,7 @@
 
 
 @given(LIMITS)
-def test_any_limit_is_read_or_shown(contents):
+def test_any_limit_is_parsed_or_reported(contents):
     headers = [(b'server-limit', content) for content in contents]
     facts = PlatformDialect().read_response(200, headers)
     assert facts.limit_per_second is not None or (
@@ -352,7 +352,7 @@
         ([], False, False),
     ],
 )
-def test_leaving_is_said_by_one_word(contents, is_leaving, is_unreadable):
+def test_only_1_means_leaving(contents, is_leaving, is_unreadable):
     headers = [(b'Server-Leaving', content) for content in contents]
     facts = PlatformDialect().read_response(200, headers)
     assert facts.is_leaving is is_leaving
@@ -366,7 +366,7 @@
         ([b'0.25'], 0.25, False),
         ([b'2.5374448024158793'], 2.5374448024158793, False),
         ([b'1', b'2'], 2.0, False),
-        ([b'31536000'], MOST_REST_SECONDS, False),
+        ([b'31536000'], MAX_BACKOFF_SECONDS, False),
         ([b'0'], None, False),
         ([b'-1'], None, True),
         ([b'nan'], None, True),
@@ -377,7 +377,7 @@
         ([], None, False),
     ],
 )
-def test_rest_is_a_bounded_number(contents, rest_seconds, is_unreadable):
+def test_backoff_is_a_bounded_number(contents, rest_seconds, is_unreadable):
     headers = [(b'Retry-After', content) for content in contents]
     facts = PlatformDialect().read_response(503, headers)
     assert facts.backoff_seconds == rest_seconds
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -45,7 +45,7 @@
     assert (run.status, run.errors) == (ExitStatus.SUCCESS, '')
 
 
-def test_every_fault_of_the_settings_is_told_at_once(tmp_path):
+def test_all_setting_faults_are_reported_together(tmp_path):
     path = tmp_path / 'bad.ini'
     text = fakes.SETTINGS_TEXT.format(name='x').replace('caller_port = 1', '')
     text += '[callers]\nmax_requests = many\ncolour = red\n[planets]\nx = 1\n'
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -56,7 +56,7 @@
     assert any('rule broken: bound is left with no' in line for line in effects)
 
 
-def test_every_fault_of_the_intents_is_told_at_once(shared_fleet):
+def test_all_intent_faults_are_reported_together(shared_fleet):
     intents = [
         {'kind': 'target', 'name': 'x', 'state': 'gone', 'color': 'red'},
         {'kind': 'planet', 'name': 'x'},
@@ -87,7 +87,7 @@
         organisation('thief', 'erie', ['erie'], key_hashes=['a', 'a']),
     ],
 )
-def test_intent_that_contradicts_what_stands_gets_no_plan(shared_fleet, intent):
+def test_conflicting_intent_gets_no_plan(shared_fleet, intent):
     answer = shared_fleet.control(
         'erie-a', 'POST', '/plans', {'intents': [intent]}
     )
@@ -129,7 +129,7 @@
         assert max(revisions(own_fleet).values()) == base + 1
 
 
-def test_plans_that_touch_different_things_both_stand(own_fleet):
+def test_plans_without_conflict_both_take_effect(own_fleet):
     plans = [
         plan(own_fleet, 'erie-a', [limit_intent(50)]),
         plan(own_fleet, 'erie-b', [{'kind': 'model', 'name': 'extra'}]),
@@ -311,7 +311,7 @@
     assert statuses.count(429) == len(statuses) - statuses.count(200)
 
 
-def test_order_is_refused_unrun_when_the_store_is_out(own_fleet):
+def test_order_is_rejected_without_running_in_a_store_outage(own_fleet):
     own_fleet.set_faults('platform', out=1)
     answer = order(own_fleet, 'erie-a', 'my-own')
     assert answer.status == 503
@@ -319,7 +319,7 @@
     assert own_fleet.executions('desk-1') == []
 
 
-def test_empty_directory_is_never_given(tmp_path):
+def test_directory_is_never_empty(tmp_path):
     """A host that has joined names at least itself."""
     with Fleet(tmp_path) as fleet:
         fleet.start_platform()
