--- a/jacinthfold/gateway/handlers.py
+++ b/jacinthfold/gateway/handlers.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 from jacinthfold.catalogue.records import Catalogue
-from jacinthfold.fleet.directory import ANSWER_SECONDS, Directory
+from jacinthfold.fleet.directory import DIRECTORY_TTL_SECONDS, Directory
 from jacinthfold.fleet.snapshots import (
     SNAPSHOT_PATH,
-    PackedSnapshots,
-    SnapshotCall,
+    CompressedSnapshots,
+    SnapshotQuery,
     encode_snapshot,
 )
 from jacinthfold.gateway.adapter import HostApi
@@ -60,7 +60,7 @@
         if not hosts:
             await answer.send(HTTPStatus.SERVICE_UNAVAILABLE, [], b'')
             return
-        body = self._api.encode_directory_response(hosts, ANSWER_SECONDS)
+        body = self._api.encode_directory_response(hosts, DIRECTORY_TTL_SECONDS)
         await answer.send(HTTPStatus.OK, JSON_HEADERS, body)
 
 
@@ -72,7 +72,7 @@
     ) -> None:
         """Take what is told."""
         self._catalogue = catalogue
-        self._compressed_snapshots = PackedSnapshots(catalogue)
+        self._compressed_snapshots = CompressedSnapshots(catalogue)
         self._dump_state = dump_state
 
     async def handle(self, request: RawRequest, answer: CallerResponse) -> None:
@@ -81,7 +81,7 @@
         path = target.partition('?')[0]
         if path == SNAPSHOT_PATH:
             try:
-                snapshot_request = SnapshotCall(target)
+                snapshot_request = SnapshotQuery(target)
             except ValueError:
                 await answer.send(HTTPStatus.BAD_REQUEST, [], b'')
                 return
@@ -93,8 +93,8 @@
             return
         await answer.send(HTTPStatus.OK, JSON_HEADERS, body)
 
-    def _snapshot(self, snapshot_request: SnapshotCall) -> bytes:
-        if snapshot_request.is_packed:
+    def _snapshot(self, snapshot_request: SnapshotQuery) -> bytes:
+        if snapshot_request.accepts_compressed:
             return self._compressed_snapshots.since(snapshot_request.since)
         return encode_snapshot(self._catalogue, snapshot_request.since)
 
--- a/jacinthfold/gateway/node.py
+++ b/jacinthfold/gateway/node.py
@@ -217,7 +217,7 @@
             grace_seconds=grace,
         )
         view.hosts.own_state = HostState.LEAVING
-        view.heartbeats.announce()
+        view.heartbeats.broadcast()
         self._callers.is_leaving = True
         self._relay.is_leaving = True
         self._start_task(view.registration.leave())
--- a/jacinthfold/gateway/organisations.py
+++ b/jacinthfold/gateway/organisations.py
@@ -1,9 +1,9 @@
 """Put together what keeps organisations to their keys and caps."""
 
 from jacinthfold.catalogue.follower import Follower
+from jacinthfold.catalogue.freshness_checker import FreshnessChecker
 from jacinthfold.catalogue.metadata import MetadataStore
 from jacinthfold.catalogue.model import RouteTable
-from jacinthfold.catalogue.prover import Prover
 from jacinthfold.catalogue.records import Catalogue
 from jacinthfold.clock import Clock
 from jacinthfold.fleet.heartbeats import Heartbeats
@@ -39,13 +39,13 @@
             options.window_seconds, options.excess_ratio, options.slack
         )
         self.quota = QuotaCoordinator(hosts, store, window, clock)
-        self.freshness_checker = Prover(store, catalogue, clock)
+        self.freshness_checker = FreshnessChecker(store, catalogue, clock)
         self._heartbeats: Heartbeats | None = None
 
     def connect(self, follower: Follower, heartbeats: Heartbeats) -> None:
         """Take who watches the store, and whose socket carries messages."""
         self.freshness_checker.watches = lambda: follower.watches()
-        heartbeats.takers[QUOTA_MARK] = self.quota.handle_datagram
+        heartbeats.datagram_handlers[QUOTA_MARK] = self.quota.handle_datagram
         self.quota.outbox.send = heartbeats.send
         self._heartbeats = heartbeats
 
@@ -56,7 +56,7 @@
         is_needed = bool(len(table.organisations)) and self.key_gate.is_bounded
         self.freshness_checker.is_needed = is_needed
         if self._heartbeats is not None:
-            self._heartbeats.proofs.is_told = is_needed
+            self._heartbeats.freshness_exchange.is_enabled = is_needed
 
     def build_admission(
         self, quarantine: Quarantine, metrics: ProxyMetrics
--- a/jacinthfold/placement/choice.py
+++ b/jacinthfold/placement/choice.py
@@ -89,9 +89,11 @@
         shared = request.facts.shared_prefixes
         if shared and shared[-1].tokens >= limits.COPY_AT_LEAST_TOKENS:
             uses = self._targets.recent_uses
-            uses.record_use(target.record.life, shared[-1].name, now)
+            uses.record_use(target.record.incarnation_id, shared[-1].name, now)
 
-    def room(self, service: str, *, is_urgent: bool) -> float | None:
+    def least_wait_seconds(
+        self, service: str, *, is_urgent: bool
+    ) -> float | None:
         """Return the least wait for a service here, None with no target."""
         now = self._clock.monotonic()
         waits = [
@@ -173,7 +175,9 @@
         if not preferred or preferred[0] == self._region:
             return None
         found = self._regions.estimate_cached(preferred[0], request, tokens)
-        limit = request.route.aim_seconds * limits.PREFERRED_AIM_SHARE
+        limit = (
+            request.route.latency_objective_seconds * limits.PREFERRED_AIM_SHARE
+        )
         if found is None or found.seconds > limit - (now - request.received_at):
             return None
         return found
@@ -200,7 +204,7 @@
         if is_failing or not request.facts.prefix_segments:
             return False
         elapsed = now - request.received_at
-        aim = request.route.aim_seconds
+        aim = request.route.latency_objective_seconds
         slowness = max(1.0, estimate.target.slowness)
         return (
             estimate.seconds * slowness
@@ -240,7 +244,9 @@
             # end: held to the aim, it would be given up half delivered.
             return request.deadline - now
         elapsed = now - request.received_at
-        return request.route.aim_seconds * limits.AIM_SHARE - elapsed
+        return (
+            request.route.latency_objective_seconds * limits.AIM_SHARE - elapsed
+        )
 
     def _best_remote(
         self, request: Request, tried_regions: Collection[str]
@@ -261,7 +267,7 @@
         least = min(waits)
         if self._is_accepted_late(request, least):
             return self._soonest(request, best, remote)
-        half_aim = request.route.aim_seconds / 2
+        half_aim = request.route.latency_objective_seconds / 2
         after_seconds = self._retry_after_seconds(least - half_aim)
         return Reject('late', after_seconds, best, remote)
 
@@ -276,7 +282,7 @@
 
     def _is_accepted_late(self, request: Request, seconds: float) -> bool:
         """Tell whether a request is served although it will be late."""
-        aim = request.route.aim_seconds
+        aim = request.route.latency_objective_seconds
         if not self._targets.service(request.service_name).is_engine:
             return seconds < aim * PLAIN_LATE_FACTOR
         # A large prompt takes most of its aim by itself: however empty the
--- a/jacinthfold/placement/estimates.py
+++ b/jacinthfold/placement/estimates.py
@@ -102,7 +102,7 @@
         if not service.is_engine:
             return Estimate(target, wait, target.seconds_per_call)
         cached = target.cached_prefixes.cached_tokens(
-            request.facts.prefixes, service.memory_tokens
+            request.facts.prefixes, service.kv_cache_tokens
         )
         return self._estimate_prefill(request, target, wait, cached)
 
@@ -124,7 +124,7 @@
         found = []
         for target in targets:
             cached = target.cached_prefixes.cached_tokens(
-                shared, service.memory_tokens
+                shared, service.kv_cache_tokens
             )
             kind = (cached, target.record.data_centre)
             if cached >= limits.COPY_AT_LEAST_TOKENS and kind not in seen:
@@ -171,7 +171,7 @@
         model = self.latency_model(service.name)
         seconds = running_seconds + model.prefill_seconds(tokens_ahead)
         seconds += model.slot_wait_seconds(load.requests, slots)
-        if load.held_tokens > service.memory_tokens * limits.MEMORY_SHARE:
+        if load.held_tokens > service.kv_cache_tokens * limits.MEMORY_SHARE:
             seconds += limits.MEMORY_WAIT_SECONDS
         slowness = max(1.0, min(target.slowness, limits.MAX_SLOWNESS_FACTOR))
         return Wait(seconds * slowness, tokens_ahead, running_seconds)
--- a/jacinthfold/placement/limit_reports.py
+++ b/jacinthfold/placement/limit_reports.py
@@ -15,7 +15,7 @@
     for target in targets.all():
         report = target.pushback.limit.own_report(now)
         if report is not None:
-            reports[target.record.life] = report
+            reports[target.record.incarnation_id] = report
     return reports
 
 
--- a/jacinthfold/proxy/attempts.py
+++ b/jacinthfold/proxy/attempts.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import Protocol
 
-from jacinthfold.catalogue.model import HostRecord, Repetition
+from jacinthfold.catalogue.model import HostRecord, RetryPolicy
 from jacinthfold.clock import Clock
 from jacinthfold.placement.budget import RetryBudgets
 from jacinthfold.placement.estimates import Estimate
@@ -184,7 +184,7 @@
         progress: Progress,
         last_activity_at: Callable[[], float],
     ) -> ResponseTimeout:
-        objective_seconds = request.route.aim_seconds
+        objective_seconds = request.route.latency_objective_seconds
         soft_seconds = max(
             SOFT_TIMEOUT_FACTOR * objective_seconds, MIN_SOFT_TIMEOUT_SECONDS
         )
@@ -192,7 +192,7 @@
             HARD_TIMEOUT_FACTOR * objective_seconds,
             2 * MIN_SOFT_TIMEOUT_SECONDS,
         )
-        is_unrepeatable = request.route.repetition is Repetition.NEVER
+        is_unrepeatable = request.route.retry_policy is RetryPolicy.NEVER
         return ResponseTimeout(
             None if is_unrepeatable else soft_seconds,
             hard_seconds,
@@ -214,7 +214,7 @@
         headers: Headers,
         delivery: Delivery,
     ) -> Outcome:
-        must_be_fresh = request.route.repetition is Repetition.NEVER
+        must_be_fresh = request.route.retry_policy is RetryPolicy.NEVER
         try:
             channel = await self._pool.acquire(
                 endpoint, connect_seconds, must_be_fresh=must_be_fresh
--- a/jacinthfold/proxy/delivery.py
+++ b/jacinthfold/proxy/delivery.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from jacinthfold.catalogue.model import Repetition
+from jacinthfold.catalogue.model import RetryPolicy
 from jacinthfold.clock import Clock
 from jacinthfold.proxy.caller_response import CallerResponse
 from jacinthfold.proxy.events import EventSplitter
@@ -146,12 +146,12 @@
         soft_timeout_seconds = self._timeout.soft_timeout_seconds
         if soft_timeout_seconds is None or not self.first_event_at:
             return soft_timeout_seconds
-        gap = self._request.route.gap_aim_seconds
+        gap = self._request.route.gap_objective_seconds
         return max(GAP_TIMEOUT_FACTOR * gap, MIN_GAP_TIMEOUT_SECONDS)
 
     def _may_retry(self) -> bool:
         route = self._request.route
-        if route.repetition is Repetition.NEVER:
+        if route.retry_policy is RetryPolicy.NEVER:
             return False
         return self._progress.runs + 1 < route.max_attempts
 
--- a/jacinthfold/quarantine/crash_detector.py
+++ b/jacinthfold/quarantine/crash_detector.py
@@ -67,12 +67,12 @@
     ) -> Attempt:
         """Take that a request leaves for a target."""
         incarnation = self._incarnations.setdefault(
-            target.record.life, TargetIncarnation()
+            target.record.incarnation_id, TargetIncarnation()
         )
         if incarnation.has_crashed:
             # It listens again under the same name, and another end may come.
             incarnation = TargetIncarnation()
-            self._incarnations[target.record.life] = incarnation
+            self._incarnations[target.record.incarnation_id] = incarnation
         attempt = Attempt(request, target, incarnation, withdraw)
         now = self._clock.monotonic()
         service = self._targets.service(target.record.service)
@@ -120,15 +120,15 @@
 
     def forget(self, target: Target) -> None:
         """Drop a life that is gone."""
-        incarnation = self._incarnations.get(target.record.life)
+        incarnation = self._incarnations.get(target.record.incarnation_id)
         if incarnation is None or incarnation.attempts:
             return
         if incarnation.has_crashed or not incarnation.broken:
             self._drop(target, incarnation)
 
     def _drop(self, target: Target, incarnation: TargetIncarnation) -> None:
-        if self._incarnations.get(target.record.life) is incarnation:
-            self._incarnations.pop(target.record.life)
+        if self._incarnations.get(target.record.incarnation_id) is incarnation:
+            self._incarnations.pop(target.record.incarnation_id)
 
     def _record_head(self, attempt: Attempt) -> None:
         if attempt.started_at is None or attempt.first_event_at is None:
@@ -159,7 +159,7 @@
             return
         task = asyncio.get_running_loop().create_task(
             self._confirm_crash(target, incarnation),
-            name=f'look {target.record.life}',
+            name=f'look {target.record.incarnation_id}',
         )
         self._tasks.add(task)
         task.add_done_callback(self._on_confirmed)
--- a/jacinthfold/quarantine/crash_model.py
+++ b/jacinthfold/quarantine/crash_model.py
@@ -99,7 +99,7 @@
         self, target: Target, cause: CrashCause, present: list[PresentRequest]
     ) -> None:
         """Take which life ended, of what, and what was there."""
-        self.incarnation_id = target.record.life
+        self.incarnation_id = target.record.incarnation_id
         self.service = target.record.service
         self.cause = cause
         self.present = present
--- a/jacinthfold/quota/coordinator.py
+++ b/jacinthfold/quota/coordinator.py
@@ -78,7 +78,7 @@
             if granted is not None:
                 self.pools.handle_response(granted)
             return granted is not None
-        endpoint = self._hosts.place_of(name)
+        endpoint = self._hosts.endpoint_of(name)
         if endpoint is None:
             return False
         self.outbox.put(endpoint, share_request)
--- a/jacinthfold/quota/permits.py
+++ b/jacinthfold/quota/permits.py
@@ -90,7 +90,7 @@
         if permit.pool == self._hosts.own.name:
             self._pools.refund(permit.organisation, permit.cost)
             return
-        endpoint = self._hosts.place_of(permit.pool)
+        endpoint = self._hosts.endpoint_of(permit.pool)
         if endpoint is not None:
             self._outbox.put(
                 endpoint, PermitRefund(permit.organisation, permit.cost)
@@ -137,7 +137,7 @@
             self._pending.pop(number)
 
     def _send(self, name: str, request: PermitRequest) -> None:
-        endpoint = self._hosts.place_of(name)
+        endpoint = self._hosts.endpoint_of(name)
         if endpoint is not None:
             self._outbox.put(endpoint, request)
 
--- a/tests/gateway/test_leaving_in_answers.py
+++ b/tests/gateway/test_leaving_in_answers.py
@@ -130,12 +130,12 @@
 def test_leaving_outlives_a_lapsed_record_but_not_the_incarnation():
     """Guards against a leaving target that the store's outage makes new."""
     scene = Scene()
-    target = scene.add('i-1', born_ms=1)
+    target = scene.add('i-1', started_at_ms=1)
     receive(scene, target, answer())
     scene.targets.remove('i-1')
     scene.clock.advance(LEFT_SECONDS)
     assert scene.targets.drop_expired() == [target]
-    assert scene.add('i-1', born_ms=1).last_resort_until is not None
-    again = scene.add('i-1', born_ms=born_now(scene))
+    assert scene.add('i-1', started_at_ms=1).last_resort_until is not None
+    again = scene.add('i-1', started_at_ms=born_now(scene))
     receive(scene, target, answer())
     assert again.last_resort_until is None
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -264,12 +264,12 @@
     return {
         host
         for host, one in fleet.running().items()
-        if one.heartbeats.content.suspects.refused_seconds(name) is not None
+        if one.heartbeats.builder.suspects.refused_seconds(name) is not None
     }
 
 
 def record_crash_in_fleet(fleet, host, name, incarnation_id):
-    suspects = fleet.hosts[host].heartbeats.content.suspects
+    suspects = fleet.hosts[host].heartbeats.builder.suspects
     at_ms = round(fleet.clock.now().timestamp() * 1000)
     suspects.record_crash(
         name,
--- a/tests/gateway/test_target_rest.py
+++ b/tests/gateway/test_target_rest.py
@@ -153,7 +153,7 @@
     receive(scene, scene.add('i-1'), refused(3.0))
     scene.receive_report(0.1)
     assert scene.choose(scene.request()).region.name == 'south'
-    assert scene.placer.room('model', is_urgent=True) is None
+    assert scene.placer.least_wait_seconds('model', is_urgent=True) is None
 
 
 def test_request_chosen_before_a_backoff_is_not_sent():
@@ -171,29 +171,29 @@
 def test_backoff_outlives_a_lapsed_record_but_not_the_incarnation():
     """Guards against a resting target that the store's outage makes new."""
     scene = Scene()
-    target = scene.add('i-1', born_ms=1)
+    target = scene.add('i-1', started_at_ms=1)
     receive(scene, target, refused(30.0))
     scene.targets.remove('i-1')
     scene.clock.advance(5)
     assert scene.targets.drop_expired() == [target]
-    scene.add('i-1', born_ms=1)
+    scene.add('i-1', started_at_ms=1)
     assert isinstance(send(scene), Reject)
-    again = scene.add('i-1', born_ms=born_now(scene))
+    again = scene.add('i-1', started_at_ms=born_now(scene))
     assert send(scene) is again
 
 
 def test_backoff_applies_to_an_incarnation_with_a_late_record():
     """Guards against a rest that a target loses as its record arrives."""
     scene = Scene()
-    scene.add('i-1', born_ms=1)
-    born_ms = born_now(scene)
+    scene.add('i-1', started_at_ms=1)
+    started_at_ms = born_now(scene)
     scene.clock.advance(0.5)
     receive(scene, scene.targets.find('i-1'), refused(3.0))
     scene.clock.advance(0.5)
-    scene.add('i-1', born_ms=born_ms)
+    scene.add('i-1', started_at_ms=started_at_ms)
     assert isinstance(send(scene), Reject)
     scene.clock.advance(3)
-    assert send(scene).record.born_ms == born_ms
+    assert send(scene).record.started_at_ms == started_at_ms
 
 
 def test_backoff_is_not_counted_as_a_failure():
