--- a/jacinthfold/fleet/digest_message.py
+++ b/jacinthfold/fleet/digest_message.py
@@ -11,7 +11,7 @@
     unpacked,
 )
 from jacinthfold.fleet.table import HostState
-from jacinthfold.placement.request_limit import LimitWord
+from jacinthfold.placement.request_limit import LimitReport
 from jacinthfold.quarantine.ends import SuspectWord
 
 
@@ -65,7 +65,7 @@
     # Requests under which targets ended.
     suspects: list[SuspectWord] = []
     # Limits that targets named to these hosts, by the life of a target.
-    limits: dict[str, LimitWord] = {}
+    limits: dict[str, LimitReport] = {}
     # How old its maker's knowledge of the store was.
     proof: ProofWord | None = None
 
--- a/jacinthfold/fleet/digests.py
+++ b/jacinthfold/fleet/digests.py
@@ -8,7 +8,7 @@
 from jacinthfold.fleet.digest_message import Digest, HostWord
 from jacinthfold.fleet.heartbeat_message import LoadFigures
 from jacinthfold.fleet.table import HostStatus, HostTable
-from jacinthfold.placement import limit_words, limits
+from jacinthfold.placement import limit_reports, limits
 from jacinthfold.placement.target import Load
 from jacinthfold.placement.targets import TargetTable
 from jacinthfold.quarantine.ends import SuspectWord
@@ -61,7 +61,7 @@
         self.carried = frozenset(
             word.name
             for word in digest.hosts
-            if word.age_ms < limits.REPORT_SECONDS * 1000
+            if word.age_ms < limits.REPORT_LIFETIME_SECONDS * 1000
         )
 
 
@@ -87,7 +87,7 @@
         self.take_suspects(digest.suspects)
         now = self._clock.monotonic()
         taken = _Current(digest, now)
-        limit_words.take_words(
+        limit_reports.apply_reports(
             self._targets, digest.collector, digest.limits, taken.made_at
         )
         known = self._current.get(digest.data_centre)
@@ -96,7 +96,7 @@
         self._current[digest.data_centre] = taken
         self._note_hosts(taken)
         before = known.carried if known else frozenset()
-        self._targets.forget_reports(taken.carried - before)
+        self._targets.drop_reports(taken.carried - before)
         self._note_loads(taken)
 
     def carries(self, name: str) -> bool:
@@ -105,7 +105,7 @@
         return any(
             name in current.carried
             for current in self._current.values()
-            if now - current.made_at < limits.REPORT_SECONDS
+            if now - current.made_at < limits.REPORT_LIFETIME_SECONDS
         )
 
     def carries_own(self) -> bool:
@@ -145,14 +145,18 @@
             for life, figures in digest.loads.items()
         }
         reporter = f'sum of {digest.data_centre}'
-        targets.take_report(reporter, loads, current.made_at)
+        targets.update_loads(reporter, loads, current.made_at)
         # The own reading and answers are a small part of both; they weigh
         # twice.
-        targets.take_uses(reporter, {}, digest.uses)
+        targets.update_cached_prefixes(reporter, {}, digest.uses)
         if digest.is_full:
             maker = (digest.collector, digest.incarnation)
-            targets.take_totals(digest.data_centre, maker, digest.read_tokens)
-        targets.laws.take_sums(reporter, digest.laws, current.made_at)
+            targets.update_prefill_totals(
+                digest.data_centre, maker, digest.read_tokens
+            )
+        targets.latency_models.update_peer_sums(
+            reporter, digest.laws, current.made_at
+        )
 
     def _own_part(self, words: Iterable[HostWord]) -> Mapping[str, LoadFigures]:
         own = self._hosts.own
--- a/jacinthfold/fleet/gathering.py
+++ b/jacinthfold/fleet/gathering.py
@@ -8,9 +8,9 @@
 from jacinthfold.fleet.heartbeat_message import Heartbeat, LoadFigures
 from jacinthfold.fleet.table import SILENCE_SECONDS
 from jacinthfold.placement import limits
-from jacinthfold.placement.kept import RecentUses
-from jacinthfold.placement.law import SUMS_SECONDS
-from jacinthfold.placement.request_limit import LimitWord
+from jacinthfold.placement.latency_model import PEER_SUMS_LIFETIME_SECONDS
+from jacinthfold.placement.prefix_cache import RecentPrefixUses
+from jacinthfold.placement.request_limit import LimitReport
 
 # A host's address is told in each digest for this long after it was first
 # heard, and in every fifth one after that.
@@ -48,7 +48,7 @@
         """Take the host that may be asked to make digests."""
         self._own = own
         self._members: dict[str, _Member] = {}
-        self._uses = RecentUses()
+        self._uses = RecentPrefixUses()
         # Tokens that targets have read for members since they were first
         # heard here.
         self._read_tokens: dict[str, float] = {}
@@ -69,7 +69,7 @@
         self._add_read(member, heartbeat.read_tokens)
         for life, names in heartbeat.uses.items():
             for part in names:
-                self._uses.note_told(life, part, now)
+                self._uses.record_reported(life, part, now)
 
     def digest(self, now: float, rank: int) -> Digest:
         """Return what was heard, as told by a collector of a rank."""
@@ -88,7 +88,7 @@
             [_word(member, now) for member in self._members.values()],
             places=self._places(now),
             loads=self._loads(now),
-            uses=self._uses.by_life(now),
+            uses=self._uses.by_incarnation(now),
             limits=self._limits(now),
         )
         made.is_full = self._count % SLOW_EVERY == 0
@@ -134,13 +134,13 @@
     def _loads(self, now: float) -> dict[str, LoadFigures]:
         sums: dict[str, LoadFigures] = {}
         for member in self._members.values():
-            if now - member.heard_at < limits.REPORT_SECONDS:
+            if now - member.heard_at < limits.REPORT_LIFETIME_SECONDS:
                 _add_loads(sums, member.heartbeat.loads)
         return sums
 
-    def _limits(self, now: float) -> dict[str, LimitWord]:
+    def _limits(self, now: float) -> dict[str, LimitReport]:
         """Return the newest word of all members on each target's limit."""
-        newest: dict[str, LimitWord] = {}
+        newest: dict[str, LimitReport] = {}
         for member in self._members.values():
             held_ms = round((now - member.heard_at) * 1000)
             for life, told in member.heartbeat.limits.items():
@@ -153,7 +153,7 @@
     def _laws(self, now: float) -> dict[str, list[float]]:
         sums: dict[str, list[float]] = {}
         for member in self._members.values():
-            if now - member.laws_at < SUMS_SECONDS:
+            if now - member.laws_at < PEER_SUMS_LIFETIME_SECONDS:
                 for service, told in member.laws.items():
                     sums[service] = _added(sums.get(service), told)
         return sums
--- a/jacinthfold/fleet/heartbeat_content.py
+++ b/jacinthfold/fleet/heartbeat_content.py
@@ -12,7 +12,7 @@
     RoomFigures,
 )
 from jacinthfold.fleet.table import HostTable
-from jacinthfold.placement import limit_words
+from jacinthfold.placement import limit_reports
 from jacinthfold.placement.targets import TargetTable
 from jacinthfold.quarantine.suspects import Suspects
 
@@ -49,15 +49,15 @@
         """Return what the own region is told."""
         heartbeat = self._heartbeat(count)
         heartbeat.loads = self._loads()
-        heartbeat.limits = limit_words.own_words(
+        heartbeat.limits = limit_reports.own_reports(
             self._targets, self._clock.monotonic()
         )
         now = self._clock.monotonic()
-        heartbeat.uses = self._targets.recent_uses.by_life(now)
+        heartbeat.uses = self._targets.recent_uses.by_incarnation(now)
         heartbeat.suspects = self.suspects.news(is_near=True, is_full=is_full)
         if is_full:
-            heartbeat.read_tokens = self._targets.own_read_tokens()
-            heartbeat.laws = self._targets.laws.own_sums()
+            heartbeat.read_tokens = self._targets.own_prefilled_tokens()
+            heartbeat.laws = self._targets.latency_models.own_sums()
         return heartbeat
 
     def remote(self, count: int) -> Heartbeat:
@@ -86,7 +86,7 @@
         return {
             life: (
                 load.requests,
-                load.unread_tokens,
+                load.pending_prefill_tokens,
                 load.held_tokens,
                 load.urgent_tokens,
             )
--- a/jacinthfold/fleet/heartbeat_message.py
+++ b/jacinthfold/fleet/heartbeat_message.py
@@ -12,7 +12,7 @@
 
 from jacinthfold.catalogue.host_codec import HostDocument
 from jacinthfold.fleet.table import HostState
-from jacinthfold.placement.request_limit import LimitWord
+from jacinthfold.placement.request_limit import LimitReport
 from jacinthfold.quarantine.ends import SuspectWord
 
 # Requests, unread tokens, held tokens, urgent unread tokens.
@@ -56,7 +56,7 @@
     # Requests under which targets ended.
     suspects: list[SuspectWord] = []
     # Limits that targets named to this host, by the life of a target.
-    limits: dict[str, LimitWord] = {}
+    limits: dict[str, LimitReport] = {}
     # How old the knowledge of the store is, and of whom what was heard last.
     proof: ProofWord | None = None
     heard_beats: dict[str, Echo] = {}
--- a/jacinthfold/fleet/heartbeats.py
+++ b/jacinthfold/fleet/heartbeats.py
@@ -28,7 +28,7 @@
 )
 from jacinthfold.fleet.proofs import ProofExchange
 from jacinthfold.fleet.table import HostEntry, HostState, HostTable
-from jacinthfold.placement import limit_words
+from jacinthfold.placement import limit_reports
 from jacinthfold.placement.regions import RegionReport, RegionView
 from jacinthfold.placement.target import Load
 from jacinthfold.placement.targets import TargetTable
@@ -267,12 +267,14 @@
         self.content.suspects.take(heartbeat.suspects, is_near=is_near)
         now = self._clock.monotonic()
         if heartbeat.state is HostState.ACTIVE:
-            self._regions.take(host.name, _report(host.region, heartbeat, now))
+            self._regions.update(
+                host.name, _report(host.region, heartbeat, now)
+            )
         if host.data_centre == self._hosts.own.data_centre:
             self._gathering.take(heartbeat, now)
         if is_near:
             self.proofs.take_heartbeat(heartbeat)
-            limit_words.take_words(
+            limit_reports.apply_reports(
                 self._targets, host.name, heartbeat.limits, now
             )
             self._take_loads(host.name, heartbeat, now)
@@ -283,9 +285,11 @@
         loads = {
             life: Load(*figures) for life, figures in heartbeat.loads.items()
         }
-        self._targets.take_report(name, loads, now)
-        self._targets.take_uses(name, heartbeat.read_tokens, heartbeat.uses)
-        self._targets.laws.take_sums(name, heartbeat.laws, now)
+        self._targets.update_loads(name, loads, now)
+        self._targets.update_cached_prefixes(
+            name, heartbeat.read_tokens, heartbeat.uses
+        )
+        self._targets.latency_models.update_peer_sums(name, heartbeat.laws, now)
 
 
 def _report(region: str, heartbeat: Heartbeat, now: float) -> RegionReport:
--- a/jacinthfold/gateway/knowledge.py
+++ b/jacinthfold/gateway/knowledge.py
@@ -24,7 +24,7 @@
 from jacinthfold.gateway.settings import GatewaySettings
 from jacinthfold.placement.budget import RetryBudgets
 from jacinthfold.placement.choice import Placer
-from jacinthfold.placement.pace import ColdPace
+from jacinthfold.placement.pace import ColdTargetPacer
 from jacinthfold.placement.regions import RegionView
 from jacinthfold.placement.targets import TargetTable
 from jacinthfold.quarantine.quarantine import Quarantine
@@ -66,10 +66,10 @@
             settings, adapter.store, self.catalogue, self.hosts, clock
         )
         self.regions = RegionView(own.region, clock)
-        self.regions.laws = self.targets.laws
+        self.regions.latency_models = self.targets.latency_models
         self._laws_told_at = clock.monotonic()
         self._followed_at = float('-inf')
-        self._pace = ColdPace(own.name, clock)
+        self._pace = ColdTargetPacer(own.name, clock)
         self.placer = Placer(
             own.region, self.targets, self._pace, self.regions, clock, source
         )
@@ -126,7 +126,7 @@
 
     def on_routes(self, table: RouteTable) -> None:
         """Take a newer configuration."""
-        self.targets.follow_services(table.services)
+        self.targets.update_services(table.services)
         self.organisations.follow(table)
         latest = table.limits.idle_timeout_seconds
         self._idle_limits = [self._idle_limits[-1], latest]
@@ -162,8 +162,8 @@
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
             self._become_ready()
             self._follow_hosts_at_times()
-            for target in self.targets.forget_gone():
-                self.pool.forget(target.place)
+            for target in self.targets.drop_expired():
+                self.pool.forget(target.connection_key)
                 self.quarantine.witness.forget(target)
                 logs.event('target_gone', target=target.record.instance)
             self._tell_laws()
@@ -192,7 +192,7 @@
             ],
             'engine_laws': {
                 service: law.fields()
-                for service, law in self.targets.laws.all().items()
+                for service, law in self.targets.latency_models.all().items()
             },
             'quarantined': self.quarantine.suspects.refused(),
             'targets': [
@@ -220,7 +220,7 @@
         if now - self._laws_told_at < LAWS_TOLD_SECONDS:
             return
         self._laws_told_at = now
-        for service, law in self.targets.laws.all().items():
+        for service, law in self.targets.latency_models.all().items():
             logs.event('engine_law', service=service, **law.fields())
 
     def _become_ready(self) -> None:
@@ -240,7 +240,7 @@
             self._follow_hosts()
 
     def _follow_hosts(self) -> None:
-        self._pace.follow_hosts(self.hosts.names_in(self.own.region))
+        self._pace.update_hosts(self.hosts.names_in(self.own.region))
         serving = self.hosts.serving(self.own.region)
-        self.placer.limit_shares.follow_hosts(host.name for host in serving)
-        self.budgets.follow_hosts(1 + len(self.hosts.others()))
+        self.placer.limit_shares.update_hosts(host.name for host in serving)
+        self.budgets.update_hosts(1 + len(self.hosts.others()))
--- a/jacinthfold/placement/affinity.py
+++ b/jacinthfold/placement/affinity.py
@@ -13,7 +13,7 @@
 from jacinthfold.request.messages import PromptPart
 
 
-class _Recent:
+class _RecentSegments:
     """Hold the leading parts of a route's latest prompts."""
 
     __slots__ = ('_counts', '_names')
@@ -22,20 +22,20 @@
         self._names: deque[str] = deque()
         self._counts: Counter[str] = Counter()
 
-    def note(self, name: str) -> float:
+    def record(self, name: str) -> float:
         """Count a prompt; return the share of prompts that begin alike."""
         self._names.append(name)
         self._counts[name] += 1
-        if len(self._names) > limits.LEADING_PARTS_KEPT:
+        if len(self._names) > limits.LEADING_SEGMENTS_COUNTED:
             oldest = self._names.popleft()
             self._counts[oldest] -= 1
             if not self._counts[oldest]:
                 self._counts.pop(oldest)
         return self._counts[name] / len(self._names)
 
-    def is_telling(self) -> bool:
+    def has_enough_samples(self) -> bool:
         """Tell whether enough prompts were seen to go by shares."""
-        return len(self._names) >= limits.LEADING_PARTS_KEPT // 4
+        return len(self._names) >= limits.LEADING_SEGMENTS_COUNTED // 4
 
 
 class Affinity:
@@ -45,9 +45,9 @@
 
     def __init__(self) -> None:
         """Start without any prompt seen."""
-        self._recent: dict[str, _Recent] = {}
+        self._recent: dict[str, _RecentSegments] = {}
 
-    def shared_parts(
+    def shared_segments(
         self, route_name: str, parts: tuple[PromptPart, ...], targets: int
     ) -> tuple[PromptPart, ...]:
         """Return the leading parts by which requests are kept together."""
@@ -55,17 +55,20 @@
         shared = parts[:-1]
         if len(shared) < 2:
             return shared
-        recent = self._recent.setdefault(route_name, _Recent())
-        share = recent.note(shared[0].name)
+        recent = self._recent.setdefault(route_name, _RecentSegments())
+        share = recent.record(shared[0].name)
         # Kept together by a leading part that many prompts share, one target
         # would get most of them; by one that few share, what follows it is
         # kept together as well.
-        if recent.is_telling() and share * targets < limits.LEADING_SHARE:
+        if (
+            recent.has_enough_samples()
+            and share * targets < limits.LEADING_SHARE
+        ):
             return shared[:1]
         return shared
 
 
-def in_order(
+def rank_instances(
     shared: Iterable[PromptPart], instances: Iterable[str]
 ) -> list[str]:
     """Return instances, the one that is to keep the shared parts first."""
--- a/jacinthfold/placement/budget.py
+++ b/jacinthfold/placement/budget.py
@@ -10,43 +10,43 @@
 
 # Kept back of what is allowed: windows slide, and requests that this host
 # counts now may fall out of a window that began a moment ago.
-SHARE_KEPT = 0.75
+SAFETY_FACTOR = 0.75
 # Hosts that the slack is split among when fewer are known: a deployment can
 # grow by its spare hosts without notice.
-HOSTS_AT_LEAST = 14
-HOSTS_GROWTH = 1.25
+MIN_HOSTS = 14
+HOST_GROWTH_FACTOR = 1.25
 
 
 class RetryBudget:
     """Hold one service's requests and repeats in a sliding window."""
 
-    __slots__ = ('_clock', '_repeats', '_requests', '_window_seconds')
+    __slots__ = ('_clock', '_retries', '_requests', '_window_seconds')
 
     def __init__(self, window_seconds: float, clock: Clock) -> None:
         """Take the length of the window."""
         self._window_seconds = window_seconds
         self._clock = clock
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Count a request's first send."""
         self._requests.append(self._clock.monotonic())
 
-    def take(self, ratio: float, slack: float) -> bool:
+    def try_spend(self, ratio: float, slack: float) -> bool:
         """Count a repeat if the window has room for it."""
-        if not self.has_room(ratio, slack):
+        if not self.can_spend(ratio, slack):
             return False
-        self._repeats.append(self._clock.monotonic())
+        self._retries.append(self._clock.monotonic())
         return True
 
-    def has_room(self, ratio: float, slack: float) -> bool:
+    def can_spend(self, ratio: float, slack: float) -> bool:
         """Tell whether the window has room for a repeat."""
         now = self._clock.monotonic()
         _drop_before(self._requests, now - self._window_seconds)
-        _drop_before(self._repeats, now - self._window_seconds)
-        allowed = SHARE_KEPT * (ratio * len(self._requests) + slack)
-        return len(self._repeats) + 1 <= allowed
+        _drop_before(self._retries, now - self._window_seconds)
+        allowed = SAFETY_FACTOR * (ratio * len(self._requests) + slack)
+        return len(self._retries) + 1 <= allowed
 
 
 class RetryBudgets:
@@ -67,25 +67,25 @@
         self._budgets: dict[str, RetryBudget] = {}
         self._host_count = 0
 
-    def follow_hosts(self, count: int) -> None:
+    def update_hosts(self, count: int) -> None:
         """Take how many hosts are known; the most ever known counts."""
         # Hosts that are cut off go on spending their part.
         self._host_count = max(self._host_count, count)
 
-    def note_request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a request's first send."""
-        self._of(service).note_request()
+        self._of(service).record_request()
 
-    def take(self, service: str) -> bool:
+    def try_spend(self, service: str) -> bool:
         """Count a repeat if there is room for it."""
-        return self._of(service).take(self._ratio, self._own_slack())
+        return self._of(service).try_spend(self._ratio, self._own_slack())
 
-    def has_room(self, service: str) -> bool:
+    def can_spend(self, service: str) -> bool:
         """Tell whether a repeat would be allowed now."""
-        return self._of(service).has_room(self._ratio, self._own_slack())
+        return self._of(service).can_spend(self._ratio, self._own_slack())
 
     def _own_slack(self) -> float:
-        hosts = max(HOSTS_AT_LEAST, self._host_count * HOSTS_GROWTH)
+        hosts = max(MIN_HOSTS, self._host_count * HOST_GROWTH_FACTOR)
         return self._slack / hosts
 
     def _of(self, service: str) -> RetryBudget:
--- a/jacinthfold/placement/decision.py
+++ b/jacinthfold/placement/decision.py
@@ -14,7 +14,7 @@
         self.estimate = estimate
 
 
-class PassTo:
+class RelayTo:
     """Say that another region is to run the request."""
 
     __slots__ = ('region',)
@@ -24,23 +24,23 @@
         self.region = region
 
 
-class Refuse:
+class Reject:
     """Say that the request can't be served in time."""
 
-    __slots__ = ('after_seconds', 'elsewhere', 'here', 'reason')
+    __slots__ = ('after_seconds', 'remote_region', 'local_estimate', 'reason')
 
     def __init__(
         self,
         reason: str,
         after_seconds: float,
-        here: Estimate | None = None,
-        elsewhere: RemoteRegion | None = None,
+        local_estimate: Estimate | None = None,
+        remote_region: RemoteRegion | None = None,
     ) -> None:
         """Take why, when a return may meet room, and what was expected."""
         self.reason = reason
         self.after_seconds = after_seconds
-        self.here = here
-        self.elsewhere = elsewhere
+        self.local_estimate = local_estimate
+        self.remote_region = remote_region
 
 
-Choice = SendTo | PassTo | Refuse
+Choice = SendTo | RelayTo | Reject
--- a/jacinthfold/placement/herd.py
+++ b/jacinthfold/placement/jitter.py
@@ -14,14 +14,14 @@
 
 # How old the loads are that hosts go by: half a heartbeat, half a digest and
 # what is lost of either now and then.
-NEWS_SECONDS = 0.3
+LOAD_DATA_AGE_SECONDS = 0.3
 # Over how long the own sends are averaged.
-RATE_SECONDS = 3.0
+RATE_WINDOW_SECONDS = 3.0
 # Estimates that are closer than this say nothing.
-LEAST_SPREAD_SECONDS = 0.004
+MIN_JITTER_SECONDS = 0.004
 
 
-class _Rate:
+class _DecayingRate:
     """Hold a decaying count of sends."""
 
     __slots__ = ('_at', '_weight')
@@ -30,32 +30,32 @@
         self._at = now
         self._weight = 0.0
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         self._weight = self._decayed(now) + 1
         self._at = now
 
     def per_second(self, now: float) -> float:
-        return self._decayed(now) / RATE_SECONDS
+        return self._decayed(now) / RATE_WINDOW_SECONDS
 
     def _decayed(self, now: float) -> float:
         elapsed = max(0.0, now - self._at)
-        return self._weight * math.exp(-elapsed / RATE_SECONDS)
+        return self._weight * math.exp(-elapsed / RATE_WINDOW_SECONDS)
 
 
-class Herd:
+class LoadJitter:
     """Estimate what the hosts nearby send to the same targets unheard."""
 
     __slots__ = ('_rates',)
 
     def __init__(self) -> None:
         """Start without any send."""
-        self._rates: dict[str, _Rate] = {}
+        self._rates: dict[str, _DecayingRate] = {}
 
-    def note_sent(self, service: str, now: float) -> None:
+    def record_sent(self, service: str, now: float) -> None:
         """Take that this host sent a request to a service's targets."""
-        self._rates.setdefault(service, _Rate(now)).note(now)
+        self._rates.setdefault(service, _DecayingRate(now)).record(now)
 
-    def spread_seconds(
+    def jitter_seconds(
         self, service: str, busy_seconds: float, hosts: int, now: float
     ) -> float:
         """Return by how much waits may differ from what is believed.
@@ -65,6 +65,6 @@
         """
         rate = self._rates.get(service)
         if rate is None:
-            return LEAST_SPREAD_SECONDS
-        unheard = rate.per_second(now) * (hosts - 1) * NEWS_SECONDS
-        return max(LEAST_SPREAD_SECONDS, unheard * busy_seconds)
+            return MIN_JITTER_SECONDS
+        unreported = rate.per_second(now) * (hosts - 1) * LOAD_DATA_AGE_SECONDS
+        return max(MIN_JITTER_SECONDS, unreported * busy_seconds)
--- /dev/null
+++ b/jacinthfold/placement/limit_reports.py
@@ -0,0 +1,42 @@
+"""Tell other hosts of targets' limits, and take what they tell."""
+
+from collections.abc import Mapping
+
+from jacinthfold.placement.request_limit import LimitReport
+from jacinthfold.placement.targets import TargetTable
+
+# More turns than a limit can have had.
+MAX_ROTATIONS = 1_000_000
+
+
+def own_reports(targets: TargetTable, now: float) -> dict[str, LimitReport]:
+    """Return what this host heard of limits, by the life of a target."""
+    reports = {}
+    for target in targets.all():
+        report = target.pushback.limit.own_report(now)
+        if report is not None:
+            reports[target.record.life] = report
+    return reports
+
+
+def apply_reports(
+    targets: TargetTable,
+    source: str,
+    reports: Mapping[str, LimitReport],
+    sent_at: float,
+) -> None:
+    """Take what another host heard of limits, by the life of a target."""
+    for incarnation_id, report in reports.items():
+        target = targets.find_incarnation(incarnation_id)
+        if target is not None and _is_valid(report):
+            per_second, age_ms, rotation = report
+            reported_at = sent_at - age_ms / 1000
+            target.pushback.limit.apply_report(
+                per_second or None, reported_at, rotation, source
+            )
+
+
+def _is_valid(report: LimitReport) -> bool:
+    per_second, age_ms, rotation = report
+    is_limit = 0 <= per_second < float('inf')
+    return is_limit and age_ms >= 0 and 0 <= rotation <= MAX_ROTATIONS
--- a/jacinthfold/placement/limits.py
+++ b/jacinthfold/placement/limits.py
@@ -7,13 +7,13 @@
 OTHERS_SHARE = 0.25
 # What others wait beyond the tokens before them, since urgent ones overtake:
 # 0.86 s where 0.70 s was expected on the same day.
-OVERTAKEN_SHARE = 1.2
+OVERTAKEN_FACTOR = 1.2
 # What each request already running adds to the first event of another.
 RUNNING_SECONDS = 0.0015
 # What a plain service's call takes until its own pace has been measured.
 CALL_SECONDS = 0.03
 # Calls that a target of another region, whose slots aren't told, runs at once.
-CALLS_BESIDE = 4
+REMOTE_CONCURRENT_CALLS = 4
 # There and back between regions, plus the hop inside each: 2 x 55 ms.
 REGION_TRIP_SECONDS = 0.12
 # Share of the aim that a placement may be expected to use; the rest covers
@@ -30,11 +30,11 @@
 EJECT_LIMIT_SECONDS = 4.0
 FAILURES_TO_EJECT = 3
 # A load report of another host counts this long; reports come every 200 ms.
-REPORT_SECONDS = 1.5
+REPORT_LIFETIME_SECONDS = 1.5
 # What a request waits for memory that another one must free: an answer of 385
 # tokens takes 2 to 3.5 s, and of 64 one ends long before. A guess on the late
 # side, not measured.
-FULL_SECONDS = 1.0
+MEMORY_WAIT_SECONDS = 1.0
 # Memory that requests may fill: engines preempt when it runs out.
 MEMORY_SHARE = 0.92
 # Pace of a cold target against what it tolerates. Its hosts may disagree for
@@ -46,15 +46,15 @@
 # Requests stay with the target that keeps their shared parts while its first
 # event is expected within this share of the aim. Worth of three loaded days on
 # each of two deployments, one seed: 0.620 at 0.35, 0.625 at 0.75.
-KEEP_SHARE = 0.6
+PREFERRED_AIM_SHARE = 0.6
 # Targets in that order that are asked before the soonest of all is taken.
-KEEPERS = 2
+PREFERRED_TARGETS = 2
 # A target that failed a tenth of its latest requests keeps nothing: a cache
 # hit saves 60 ms, a failure costs the answer.
-KEEPER_FAILING_SHARE = 0.1
+PREFERRED_FAILING_SHARE = 0.1
 # Prompts of a route whose leading parts are counted, and the share of a
 # target's requests that one leading part may bring.
-LEADING_PARTS_KEPT = 256
+LEADING_SEGMENTS_COUNTED = 256
 LEADING_SHARE = 0.5
 # Copying shared parts between targets of a region: the time to begin, beside
 # the bytes that the operator declares for a token and a link.
@@ -65,8 +65,8 @@
 # of a copy, and are not worth telling other hosts of.
 COPY_AT_LEAST_TOKENS = 2000
 # How far a target's slowness stretches its wait.
-SLOWNESS_COUNTED = 4.0
+MAX_SLOWNESS_FACTOR = 4.0
 # A prompt that takes this long to read leaves a region whose targets make it
 # wait longer than the second figure, about as long as the trip to another one.
-LARGE_SECONDS = 0.04
-LEAVE_WAIT_SECONDS = 0.08
+LARGE_PREFILL_SECONDS = 0.04
+OFFLOAD_WAIT_SECONDS = 0.08
--- a/jacinthfold/placement/pace.py
+++ b/jacinthfold/placement/pace.py
@@ -25,7 +25,7 @@
 _SECOND = 1.0
 
 
-class ColdPace:
+class ColdTargetPacer:
     """Decide whether this host may send to a cold target now."""
 
     __slots__ = ('_quiet_until', 'ranks')
@@ -40,9 +40,9 @@
         """Return how many hosts the region has."""
         return self.ranks.host_count
 
-    def follow_hosts(self, names: Iterable[str]) -> None:
+    def update_hosts(self, names: Iterable[str]) -> None:
         """Take the names of all hosts of the region, this one included."""
-        self.ranks.follow_hosts(names)
+        self.ranks.update_hosts(names)
 
     def allows(self, target: Target, per_second: float, now: float) -> bool:
         """Tell whether a request may be sent to a cold target now."""
@@ -52,7 +52,7 @@
             return False
         return self.ranks.position(target.record.instance) == 0
 
-    def note_sent(self, target: Target, now: float) -> None:
+    def record_sent(self, target: Target, now: float) -> None:
         """Take that a request was sent to a cold target."""
         target.paced_at = now
 
--- a/jacinthfold/placement/keeping.py
+++ b/jacinthfold/placement/preferred_regions.py
@@ -7,13 +7,13 @@
 with one over all of them.
 """
 
-from jacinthfold.placement.affinity import in_order
+from jacinthfold.placement.affinity import rank_instances
 from jacinthfold.placement.target import Target
 from jacinthfold.placement.targets import TargetTable
 from jacinthfold.request.messages import Request
 
 
-class KeeperRegions:
+class PreferredRegions:
     """Order regions for a prompt, the same on every host."""
 
     __slots__ = ('_targets',)
@@ -22,7 +22,7 @@
         """Take the targets of all regions."""
         self._targets = targets
 
-    def regions(self, request: Request, now: float) -> list[str]:
+    def ranked(self, request: Request, now: float) -> list[str]:
         """Return allowed regions, the one that is to keep the parts first."""
         shared = request.facts.parts[:-1]
         by_instance = {
@@ -30,14 +30,16 @@
                 target.record.data_centre
             )
             for target in self._targets.serving(request.service_name)
-            if self._may_keep(request, target, now)
+            if self._is_eligible(request, target, now)
         }
         if not shared or not by_instance:
             return []
-        ordered = in_order(shared, by_instance)
+        ordered = rank_instances(shared, by_instance)
         return list(dict.fromkeys(by_instance[name] for name in ordered))
 
-    def _may_keep(self, request: Request, target: Target, now: float) -> bool:
+    def _is_eligible(
+        self, request: Request, target: Target, now: float
+    ) -> bool:
         record = target.record
         return (
             request.allows(self._targets.region_of(record.data_centre))
--- a/jacinthfold/placement/kept.py
+++ b/jacinthfold/placement/prefix_cache.py
@@ -14,29 +14,31 @@
 
 # Share of a target's memory that may fill up with newer prompts before a part
 # counts as dropped: the rest is held by running requests, which come first.
-KEPT_SHARE = 0.7
+CACHE_SHARE = 0.7
 # Names remembered for each target.
-NAMES_KEPT = 2000
+MAX_PREFIXES = 2000
 # How long a use is told: a heartbeat may be lost, three or more have it.
-TOLD_SECONDS = 1.3
+USE_REPORT_SECONDS = 1.3
 
 
-class KeptParts:
+class CachedPrefixes:
     """Hold what a target read, in the order of its latest use."""
 
-    __slots__ = ('_counters', '_uses', 'read_tokens')
+    __slots__ = ('_counters', '_uses', 'prefilled_tokens')
 
     def __init__(self) -> None:
         """Start with an empty target."""
         # Tokens that the target has read for all hosts that are heard.
-        self.read_tokens = 0.0
+        self.prefilled_tokens = 0.0
         self._uses: OrderedDict[str, float] = OrderedDict()
         self._counters: dict[str, float] = {}
 
-    def tokens(self, chain: Iterable[ChainLink], memory_tokens: int) -> int:
+    def cached_tokens(
+        self, chain: Iterable[ChainLink], memory_tokens: int
+    ) -> int:
         """Return how many leading tokens of a prompt are probably kept."""
         tokens = 0
-        oldest = self.read_tokens - memory_tokens * KEPT_SHARE
+        oldest = self.prefilled_tokens - memory_tokens * CACHE_SHARE
         for link in chain:
             used_at = self._uses.get(link.name)
             if used_at is None or used_at < oldest:
@@ -44,32 +46,36 @@
             tokens = link.tokens
         return tokens
 
-    def note(self, names: Iterable[str]) -> None:
+    def record_use(self, names: Iterable[str]) -> None:
         """Take that prompts up to the ends of these parts were used."""
         for name in names:
-            self._uses[name] = self.read_tokens
+            self._uses[name] = self.prefilled_tokens
             self._uses.move_to_end(name)
-        while len(self._uses) > NAMES_KEPT:
+        while len(self._uses) > MAX_PREFIXES:
             self._uses.popitem(last=False)
 
-    def note_read(self, tokens: float) -> None:
+    def add_prefilled(self, tokens: float) -> None:
         """Take that this host sent a prompt of so many unread tokens."""
-        self.read_tokens += tokens
+        self.prefilled_tokens += tokens
 
-    def begin_counter(self, host: str, read_tokens: float) -> None:
+    def start_counter(self, host: str, prefilled_tokens: float) -> None:
         """Take what a counter says from which on it is followed."""
-        self._counters[host] = read_tokens
+        self._counters[host] = prefilled_tokens
 
-    def take_counter(self, host: str, read_tokens: float) -> None:
+    def update_counter(self, host: str, prefilled_tokens: float) -> None:
         """Take how much the target has read for another host in all."""
         before = self._counters.get(host, 0.0)
-        self._counters[host] = read_tokens
+        self._counters[host] = prefilled_tokens
         # A host that started again counts from nothing.
-        grown = read_tokens - before if read_tokens >= before else read_tokens
-        self.read_tokens += grown
+        grown = (
+            prefilled_tokens - before
+            if prefilled_tokens >= before
+            else prefilled_tokens
+        )
+        self.prefilled_tokens += grown
 
 
-class RecentUses:
+class RecentPrefixUses:
     """Hold what this host lately sent where, for the other hosts to hear."""
 
     __slots__ = ('_uses',)
@@ -78,24 +84,26 @@
         """Start with none."""
         self._uses: OrderedDict[tuple[str, str], float] = OrderedDict()
 
-    def note(self, life: str, name: str, now: float) -> None:
+    def record_use(self, incarnation_id: str, name: str, now: float) -> None:
         """Take that a prompt with a long shared part was sent to a target."""
-        self._uses[life, name] = now
-        self._uses.move_to_end((life, name))
+        self._uses[incarnation_id, name] = now
+        self._uses.move_to_end((incarnation_id, name))
 
-    def note_told(self, life: str, name: str, now: float) -> None:
+    def record_reported(
+        self, incarnation_id: str, name: str, now: float
+    ) -> None:
         """Take a use that a host tells of more than once."""
-        if (life, name) not in self._uses:
-            self._uses[life, name] = now
+        if (incarnation_id, name) not in self._uses:
+            self._uses[incarnation_id, name] = now
 
-    def by_life(self, now: float) -> dict[str, list[str]]:
+    def by_incarnation(self, now: float) -> dict[str, list[str]]:
         """Return the names of parts by the life that was sent them."""
         while self._uses:
             first = next(iter(self._uses))
-            if now - self._uses[first] < TOLD_SECONDS:
+            if now - self._uses[first] < USE_REPORT_SECONDS:
                 break
             self._uses.popitem(last=False)
         found: dict[str, list[str]] = {}
-        for life, name in self._uses:
-            found.setdefault(life, []).append(name)
+        for incarnation_id, name in self._uses:
+            found.setdefault(incarnation_id, []).append(name)
         return found
--- a/jacinthfold/placement/pushback.py
+++ b/jacinthfold/placement/pushback.py
@@ -4,12 +4,12 @@
 from http import HTTPStatus
 
 from jacinthfold import logs
+from jacinthfold.placement.backoff import Backoff
 from jacinthfold.placement.request_limit import RequestLimit
-from jacinthfold.placement.rest import Rest
 from jacinthfold.request.messages import AnswerHead
 
 # Lives whose records are gone; the oldest are dropped first.
-LIVES_KEPT = 4096
+MAX_RETAINED = 4096
 
 
 class Pushback:
@@ -20,7 +20,7 @@
         '_unreadable',
         'leaving_since',
         'limit',
-        'rest',
+        'backoff',
     )
 
     def __init__(self, instance: str) -> None:
@@ -31,9 +31,11 @@
         # When an answer first said that the target will end.
         self.leaving_since: float | None = None
         self.limit = RequestLimit(instance)
-        self.rest = Rest(instance)
+        self.backoff = Backoff(instance)
 
-    def note_answer(self, head: AnswerHead, sent_at: float, now: float) -> None:
+    def record_answer(
+        self, head: AnswerHead, sent_at: float, now: float
+    ) -> None:
         """Take the head of an answer to a request that was sent at a time."""
         if head.status == HTTPStatus.MISDIRECTED_REQUEST:
             # Another target has the address now.
@@ -44,30 +46,30 @@
             self.leaving_since = now
             logs.event('target_leaving', target=self._instance, source='answer')
         if facts.rest_seconds is not None:
-            self.rest.note_refused(facts.rest_seconds, now)
+            self.backoff.record_rejected(facts.rest_seconds, now)
         elif head.status != HTTPStatus.SERVICE_UNAVAILABLE:
-            self.rest.note_taken(sent_at)
+            self.backoff.record_accepted(sent_at)
         # What fails may come from a process that no longer says what it needs.
         is_failure = head.status >= HTTPStatus.BAD_REQUEST
         if facts.limit_per_second is not None or not is_failure:
-            self.limit.note_answer(facts.limit_per_second, sent_at, now)
+            self.limit.record_answer(facts.limit_per_second, sent_at, now)
 
-    def of_next_life(self, began_at: float) -> 'Pushback':
+    def for_next_incarnation(self, started_at: float) -> 'Pushback':
         """Return what the next life asks for, which began at a time."""
         # Its record may come later than its first answers, and what they
         # asked for was noted here. Leaving is not taken over: a late answer of
         # this life would take the next one away for good, while rests and
         # limits end.
-        following = Pushback(self._instance)
-        if self.rest.asked_at >= began_at:
-            following.rest = copy(self.rest)
-        if self.limit.named_at >= began_at:
-            following.limit = copy(self.limit)
-        return following
-
-    def barrier_reason(self, now: float, *, is_counted: bool) -> str:
+        successor = Pushback(self._instance)
+        if self.backoff.requested_at >= started_at:
+            successor.backoff = copy(self.backoff)
+        if self.limit.reported_at >= started_at:
+            successor.limit = copy(self.limit)
+        return successor
+
+    def rejection_reason(self, now: float, *, is_counted: bool) -> str:
         """Return why a request may not be sent now, nothing if it may."""
-        if now < self.rest.until:
+        if now < self.backoff.until:
             return 'target_rests'
         if self.limit.per_second is not None and not is_counted:
             return 'target_limit'
@@ -84,24 +86,26 @@
             )
 
 
-class KeptPushback:
+class RetainedPushback:
     """Keep what lives of targets asked for after their records are gone."""
 
     # Records lapse while the store is away, and come back with it: the life
     # has gone on, and what it asked for holds.
 
-    __slots__ = ('_by_life',)
+    __slots__ = ('_by_incarnation',)
 
     def __init__(self) -> None:
         """Start without any."""
-        self._by_life: dict[str, Pushback] = {}
+        self._by_incarnation: dict[str, Pushback] = {}
 
-    def keep(self, life: str, pushback: Pushback) -> None:
+    def add(self, incarnation_id: str, pushback: Pushback) -> None:
         """Take what a life whose record is gone asked for."""
-        self._by_life[life] = pushback
-        if len(self._by_life) > LIVES_KEPT:
-            self._by_life.pop(next(iter(self._by_life)))
+        self._by_incarnation[incarnation_id] = pushback
+        if len(self._by_incarnation) > MAX_RETAINED:
+            self._by_incarnation.pop(next(iter(self._by_incarnation)))
 
-    def take(self, life: str, instance: str) -> Pushback:
+    def restore(self, incarnation_id: str, instance: str) -> Pushback:
         """Return what a life asked for, nothing for a new one."""
-        return self._by_life.pop(life, None) or Pushback(instance)
+        return self._by_incarnation.pop(incarnation_id, None) or Pushback(
+            instance
+        )
--- a/jacinthfold/placement/ranks.py
+++ b/jacinthfold/placement/ranks.py
@@ -31,7 +31,7 @@
         """Tell whether this host has run long enough to know the others."""
         return now >= self._settled_at
 
-    def follow_hosts(self, names: Iterable[str]) -> None:
+    def update_hosts(self, names: Iterable[str]) -> None:
         """Take the names of all hosts of the region, this one included."""
         hosts = tuple(sorted({self.own_name, *names}))
         if hosts != self._hosts:
--- a/jacinthfold/placement/regions.py
+++ b/jacinthfold/placement/regions.py
@@ -4,49 +4,49 @@
 
 from jacinthfold.clock import Clock
 from jacinthfold.placement import limits
-from jacinthfold.placement.law import Laws
+from jacinthfold.placement.latency_model import LatencyModels
 from jacinthfold.request.messages import Request
 
 # Own requests on their way to a region count until its next heartbeats have
 # taken them in: two heartbeats and the trip.
-ON_ITS_WAY_SECONDS = 0.8
+IN_TRANSIT_SECONDS = 0.8
 
 
 class RemoteRegion:
     """Hold a region that could serve a request, and when."""
 
-    __slots__ = ('hosts', 'kept_tokens', 'name', 'seconds')
+    __slots__ = ('hosts', 'prefix_tokens', 'name', 'seconds')
 
     def __init__(
         self,
         name: str,
         seconds: float,
         hosts: tuple[str, ...],
-        kept_tokens: int = 0,
+        prefix_tokens: int = 0,
     ) -> None:
         """Take the expected time to the first event and the live hosts."""
         self.name = name
         self.seconds = seconds
         self.hosts = hosts
         # What is believed to be kept there of the prompt.
-        self.kept_tokens = kept_tokens
+        self.prefix_tokens = prefix_tokens
 
 
 class RegionReport:
     """Hold what one host says of its region's room."""
 
-    __slots__ = ('heard_at', 'region', 'target_counts', 'waits')
+    __slots__ = ('received_at', 'region', 'target_counts', 'waits')
 
     def __init__(
         self,
         region: str,
-        heard_at: float,
+        received_at: float,
         waits: Mapping[str, tuple[float, float]],
         target_counts: Mapping[str, int],
     ) -> None:
         """Take waits in seconds, of ordinary and of urgent requests."""
         self.region = region
-        self.heard_at = heard_at
+        self.received_at = received_at
         self.waits = dict(waits)
         self.target_counts = dict(target_counts)
 
@@ -59,32 +59,32 @@
         self._own_region = own_region
         self._clock = clock
         self._reports: dict[str, RegionReport] = {}
-        self.laws = Laws()
-        self._on_its_way: list[tuple[float, str, str, float]] = []
+        self.latency_models = LatencyModels()
+        self._in_transit: list[tuple[float, str, str, float]] = []
 
-    def take(self, host: str, report: RegionReport) -> None:
+    def update(self, host: str, report: RegionReport) -> None:
         """Take a host's report."""
         if report.region != self._own_region:
             self._reports[host] = report
 
-    def note_passed(self, request: Request, region: RemoteRegion) -> None:
+    def record_relayed(self, request: Request, region: RemoteRegion) -> None:
         """Take that a request was passed to a region."""
         entry = (
-            self._clock.monotonic() + ON_ITS_WAY_SECONDS,
+            self._clock.monotonic() + IN_TRANSIT_SECONDS,
             region.name,
             request.service_name,
-            self._busy_seconds(request, region.kept_tokens),
+            self._blocking_seconds(request, region.prefix_tokens),
         )
-        self._on_its_way.append(entry)
+        self._in_transit.append(entry)
 
-    def at(
-        self, region: str, request: Request, kept_tokens: int
+    def estimate_cached(
+        self, region: str, request: Request, prefix_tokens: int
     ) -> RemoteRegion | None:
         """Return a region that keeps a part of a prompt, and when it serves."""
-        hosts = self._heard().get(region)
+        hosts = self._live_hosts().get(region)
         if not hosts:
             return None
-        return self._remote(request, region, hosts, kept_tokens)
+        return self._remote(request, region, hosts, prefix_tokens)
 
     def best(
         self, request: Request, tried_regions: Collection[str]
@@ -92,7 +92,7 @@
         """Return the allowed region that serves soonest."""
         found = [
             self._remote(request, name, hosts)
-            for name, hosts in self._heard().items()
+            for name, hosts in self._live_hosts().items()
             if name not in tried_regions and request.allows(name)
         ]
         return min(
@@ -101,16 +101,16 @@
             default=None,
         )
 
-    def _heard(self) -> dict[str, list[str]]:
+    def _live_hosts(self) -> dict[str, list[str]]:
         """Return hosts that reported lately, by region."""
         now = self._clock.monotonic()
-        self._on_its_way = [one for one in self._on_its_way if one[0] > now]
+        self._in_transit = [one for one in self._in_transit if one[0] > now]
         # Each host hears a few of another region's at a time, and in the end
         # of all of them: those that fell silent are not looked at again.
         self._reports = {
             host: report
             for host, report in self._reports.items()
-            if now - report.heard_at < limits.REPORT_SECONDS
+            if now - report.received_at < limits.REPORT_LIFETIME_SECONDS
         }
         by_region: dict[str, list[str]] = {}
         for host, report in self._reports.items():
@@ -122,7 +122,7 @@
         request: Request,
         name: str,
         hosts: Iterable[str],
-        kept_tokens: int = 0,
+        prefix_tokens: int = 0,
     ) -> RemoteRegion | None:
         service = request.service_name
         serving = [
@@ -136,35 +136,39 @@
             self._reports[host].target_counts.get(service, 1)
             for host in serving
         )
-        coming = sum(
+        in_transit_seconds = sum(
             seconds
-            for _, region, kind, seconds in self._on_its_way
+            for _, region, kind, seconds in self._in_transit
             if (region, kind) == (name, service)
         )
-        seconds = sum(waits) / len(waits) + coming / max(1, count)
+        seconds = sum(waits) / len(waits) + in_transit_seconds / max(1, count)
         seconds += limits.REGION_TRIP_SECONDS
-        seconds += self._read_seconds(request, kept_tokens)
-        return RemoteRegion(name, seconds, tuple(serving), kept_tokens)
+        seconds += self._first_event_seconds(request, prefix_tokens)
+        return RemoteRegion(name, seconds, tuple(serving), prefix_tokens)
 
-    def _busy_seconds(self, request: Request, kept_tokens: int) -> float:
+    def _blocking_seconds(self, request: Request, prefix_tokens: int) -> float:
         """Return how long a request holds up those behind it."""
         # The reading alone does. With the time to a first event, which all
         # requests spend beside each other, forty questions on their way
         # looked like a second of work, and a region with room like a full one:
         # worth of four loaded days 0.646 with it, 0.683 without (three seeds).
         if not request.facts.prompt_tokens:
-            return limits.CALL_SECONDS / limits.CALLS_BESIDE
-        law = self.laws.of(request.service_name)
-        return law.reading_seconds(self._work(request, kept_tokens))
-
-    def _read_seconds(self, request: Request, kept_tokens: int) -> float:
-        law = self.laws.of(request.service_name)
-        return law.first_event_seconds(self._work(request, kept_tokens))
-
-    def _work(self, request: Request, kept_tokens: int) -> float:
-        law = self.laws.of(request.service_name)
-        unread = max(0, request.facts.prompt_tokens - kept_tokens)
-        return law.work(unread, kept_tokens)
+            return limits.CALL_SECONDS / limits.REMOTE_CONCURRENT_CALLS
+        model = self.latency_models.of(request.service_name)
+        return model.prefill_seconds(self._token_cost(request, prefix_tokens))
+
+    def _first_event_seconds(
+        self, request: Request, prefix_tokens: int
+    ) -> float:
+        model = self.latency_models.of(request.service_name)
+        return model.first_event_seconds(
+            self._token_cost(request, prefix_tokens)
+        )
+
+    def _token_cost(self, request: Request, prefix_tokens: int) -> float:
+        model = self.latency_models.of(request.service_name)
+        tokens_to_prefill = max(0, request.facts.prompt_tokens - prefix_tokens)
+        return model.token_cost(tokens_to_prefill, prefix_tokens)
 
 
 def _seconds(region: RemoteRegion) -> float:
--- a/jacinthfold/placement/returns.py
+++ b/jacinthfold/placement/retry_schedule.py
@@ -3,10 +3,10 @@
 from jacinthfold.clock import Clock
 
 # Callers are not sent away for longer: limits end, and targets are added.
-LONGEST_SECONDS = 5.0
+MAX_RETRY_AFTER_SECONDS = 5.0
 
 
-class ReturnSchedule:
+class RetrySchedule:
     """Spread returns over time at the pace at which they can be served."""
 
     __slots__ = ('_clock', '_next_at')
@@ -20,9 +20,9 @@
         """Return when the next caller of a service is to come back."""
         now = self._clock.monotonic()
         last_at = max(now, self._next_at.get(service, now))
-        longest_at = now + LONGEST_SECONDS
-        found = longest_at
+        latest_at = now + MAX_RETRY_AFTER_SECONDS
+        next_at = latest_at
         if per_second > 0:
-            found = min(longest_at, last_at + 1 / per_second)
-        self._next_at[service] = found
-        return found - now
+            next_at = min(latest_at, last_at + 1 / per_second)
+        self._next_at[service] = next_at
+        return next_at - now
--- a/jacinthfold/placement/usable.py
+++ b/jacinthfold/placement/usable.py
@@ -2,10 +2,13 @@
 
 from collections.abc import Collection
 
-from jacinthfold.placement.decision import Refuse
+from jacinthfold.placement.decision import Reject
 from jacinthfold.placement.limit_shares import LimitShares
-from jacinthfold.placement.pace import ColdPace
-from jacinthfold.placement.returns import LONGEST_SECONDS, ReturnSchedule
+from jacinthfold.placement.pace import ColdTargetPacer
+from jacinthfold.placement.retry_schedule import (
+    MAX_RETRY_AFTER_SECONDS,
+    RetrySchedule,
+)
 from jacinthfold.placement.target import Target
 from jacinthfold.placement.targets import TargetTable
 
@@ -16,22 +19,28 @@
 class UsableTargets:
     """Find the targets of a region that a request may go to."""
 
-    __slots__ = ('_limit_shares', '_pace', '_region', '_returns', '_targets')
+    __slots__ = (
+        '_limit_shares',
+        '_pace',
+        '_region',
+        '_retry_schedule',
+        '_targets',
+    )
 
     def __init__(
         self,
         region: str,
         targets: TargetTable,
-        pace: ColdPace,
+        pace: ColdTargetPacer,
         limit_shares: LimitShares,
-        returns: ReturnSchedule,
+        retry_schedule: RetrySchedule,
     ) -> None:
         """Take the targets and what bounds requests to them."""
         self._region = region
         self._targets = targets
         self._pace = pace
         self._limit_shares = limit_shares
-        self._returns = returns
+        self._retry_schedule = retry_schedule
 
     def find(
         self,
@@ -42,7 +51,7 @@
         is_urgent: bool,
     ) -> list[Target]:
         """Return the targets of a service, the soundest kind that there is."""
-        here = [
+        candidates = [
             target
             for target in self._targets.of(service, self._region)
             if target.record.data_centre not in self._targets.evacuated
@@ -50,27 +59,27 @@
             # Nothing listens there. As the seemingly idlest target it would
             # take request after request that another region could serve.
             and target.unreachable_until <= now
-            and self._is_warm_enough(target, now)
-            and self._is_asked_for(target, now, is_urgent=is_urgent)
+            and self._allows_cold(target, now)
+            and self._is_admitted(target, now, is_urgent=is_urgent)
         ]
-        staying = [one for one in here if one.last_resort_until is None]
-        sound = [one for one in staying if one.ejected_until <= now]
-        if sound:
-            return sound
+        staying = [one for one in candidates if one.last_resort_until is None]
+        healthy = [one for one in staying if one.ejected_until <= now]
+        if healthy:
+            return healthy
         return staying or [
             one
-            for one in here
+            for one in candidates
             if one.last_resort_until is not None and one.last_resort_until > now
         ]
 
-    def note_sent(self, target: Target, now: float) -> bool:
+    def record_sent(self, target: Target, now: float) -> bool:
         """Take that a request leaves; tell whether a limit counts it."""
         if target.cold_until > now:
-            self._pace.note_sent(target, now)
-        target.pushback.rest.note_sent(now)
-        return self._limit_shares.note_sent(target, now)
+            self._pace.record_sent(target, now)
+        target.pushback.backoff.record_sent(now)
+        return self._limit_shares.record_sent(target, now)
 
-    def absence(self, service: str, now: float) -> Refuse:
+    def no_target_rejection(self, service: str, now: float) -> Reject:
         """Say why there is no target, and when there may be one."""
         pushbacks = [
             target.pushback
@@ -80,23 +89,27 @@
         named = [one.limit for one in pushbacks if one.limit.per_second]
         if named:
             per_second = self._limit_shares.mean_per_second(named)
-            after_seconds = self._returns.after_seconds(service, per_second)
-            return Refuse('target_limits', after_seconds)
-        rests = [one.rest.until for one in pushbacks if one.rest.until > now]
-        if rests:
-            after_seconds = min(LONGEST_SECONDS, min(rests) - now)
-            return Refuse('targets_rest', after_seconds)
-        return Refuse('no_target', NO_TARGET_SECONDS)
+            after_seconds = self._retry_schedule.after_seconds(
+                service, per_second
+            )
+            return Reject('target_limits', after_seconds)
+        backoffs = [
+            one.backoff.until for one in pushbacks if one.backoff.until > now
+        ]
+        if backoffs:
+            after_seconds = min(MAX_RETRY_AFTER_SECONDS, min(backoffs) - now)
+            return Reject('targets_rest', after_seconds)
+        return Reject('no_target', NO_TARGET_SECONDS)
 
-    def _is_asked_for(
+    def _is_admitted(
         self, target: Target, now: float, *, is_urgent: bool
     ) -> bool:
         """Tell whether a target takes a request by what it asked for."""
-        if not target.pushback.rest.allows(now):
+        if not target.pushback.backoff.allows(now):
             return False
         return self._limit_shares.allows(target, now, is_urgent=is_urgent)
 
-    def _is_warm_enough(self, target: Target, now: float) -> bool:
+    def _allows_cold(self, target: Target, now: float) -> bool:
         if target.cold_until <= now:
             return True
         service = self._targets.service(target.record.service)
--- a/jacinthfold/proxy/attempts.py
+++ b/jacinthfold/proxy/attempts.py
@@ -9,7 +9,7 @@
 from jacinthfold.clock import Clock
 from jacinthfold.placement.budget import RetryBudgets
 from jacinthfold.placement.estimates import Estimate
-from jacinthfold.placement.law import Answer
+from jacinthfold.placement.latency_model import LatencySample
 from jacinthfold.placement.regions import RegionView, RemoteRegion
 from jacinthfold.placement.target import Target
 from jacinthfold.proxy import relay_header, unread
@@ -90,25 +90,31 @@
             last_event_id=progress.last_event_id,
         )
         headers = relay_header.without_internal(headers)
-        if estimate.keeper is not None:
-            place = estimate.keeper.record.address
+        if estimate.copy_source is not None:
+            place = estimate.copy_source.record.address
             headers.extend(self._dialect.copy_headers(place))
-        patience = self._patience(request, progress, lambda: target.heard_at)
+        patience = self._patience(
+            request, progress, lambda: target.last_received_at
+        )
         delivery = Delivery(request, answer, progress, patience, self._clock)
         attempt = self._witness.begin(request, target, delivery.withdraw)
         delivery.on_heard = partial(attempt.note_heard, self._clock)
         began_at = self._clock.monotonic()
         prompt = unread.UnreadPrompt(estimate, request)
         delivery.on_first_event = prompt.note_read
-        delivery.target_barrier = lambda: target.barrier_reason(
+        delivery.target_barrier = lambda: target.rejection_reason(
             self._clock.monotonic(), is_counted=estimate.is_counted
         )
-        delivery.on_head = lambda head: target.pushback.note_answer(
+        delivery.on_head = lambda head: target.pushback.record_answer(
             head, began_at, self._clock.monotonic()
         )
         try:
             outcome = await self._exchange(
-                target.place, CONNECT_SECONDS, request, headers, delivery
+                target.connection_key,
+                CONNECT_SECONDS,
+                request,
+                headers,
+                delivery,
             )
         finally:
             prompt.release()
@@ -132,7 +138,7 @@
         host = self._choose_host(region)
         if host is None:
             return Outcome(Ending.NOT_RUN, 'no_host_in_region')
-        self._regions.note_passed(request, region)
+        self._regions.record_relayed(request, region)
         now = self._clock.monotonic()
         headers = self._dialect.target_headers(
             request,
@@ -191,7 +197,7 @@
     def _may_leave(self, request: Request, progress: Progress) -> bool:
         if progress.runs + 1 >= request.route.max_attempts:
             return False
-        return self._budgets.has_room(request.service_name)
+        return self._budgets.can_spend(request.service_name)
 
     async def _exchange(
         self,
@@ -273,7 +279,7 @@
             seconds = first_at - began_at
             service = target.record.service
             self._metrics.first_event_seconds.labels(service).observe(seconds)
-            target.note_success(seconds, estimate.seconds)
+            target.record_success(seconds, estimate.seconds)
             if delivery.first_event_at:
                 self._learn_law(estimate, seconds, now)
                 self._learn_hold(estimate, now - first_at)
@@ -285,22 +291,26 @@
         if outcome.is_barred or outcome.is_pushback:
             return
         if outcome.reason == 'wrong_instance':
-            target.follow_record(now)
+            target.set_record_expiry(now)
         is_unreachable = outcome.reason.startswith('unreachable')
-        target.note_failure(now, is_unreachable=is_unreachable)
+        target.record_failure(now, is_unreachable=is_unreachable)
 
     def _learn_law(
         self, estimate: Estimate, seconds: float, now: float
     ) -> None:
         target = estimate.target
-        if target.cold_until > now or estimate.keeper is not None:
+        if target.cold_until > now or estimate.copy_source is not None:
             return
-        tokens = estimate.ahead + estimate.unread_tokens
-        answer = Answer(
+        tokens = estimate.tokens_ahead + estimate.tokens_to_prefill
+        answer = LatencySample(
             tokens, estimate.pairs, seconds - estimate.running_seconds
         )
-        self._regions.laws.of(target.record.service).note(answer, now)
+        self._regions.latency_models.of(target.record.service).add_sample(
+            answer, now
+        )
 
     def _learn_hold(self, estimate: Estimate, streamed_seconds: float) -> None:
-        law = self._regions.laws.of(estimate.target.record.service)
-        law.note_hold(streamed_seconds + law.reading_seconds(estimate.work))
+        law = self._regions.latency_models.of(estimate.target.record.service)
+        law.record_slot_hold(
+            streamed_seconds + law.prefill_seconds(estimate.token_cost)
+        )
--- a/jacinthfold/proxy/forwarding.py
+++ b/jacinthfold/proxy/forwarding.py
@@ -8,7 +8,7 @@
 from jacinthfold.clock import Clock
 from jacinthfold.placement.budget import RetryBudgets
 from jacinthfold.placement.choice import Placer
-from jacinthfold.placement.decision import Choice, PassTo, Refuse, SendTo
+from jacinthfold.placement.decision import Choice, Reject, RelayTo, SendTo
 from jacinthfold.proxy import request_log
 from jacinthfold.proxy.admission import Admission
 from jacinthfold.proxy.attempts import Attempts
@@ -96,7 +96,7 @@
         choice = self._placer.choose(
             request, progress.tried, progress.tried_regions
         )
-        if isinstance(choice, Refuse):
+        if isinstance(choice, Reject):
             request_log.log_refusal(request, choice)
             progress.note_refused(choice)
             return False
@@ -133,11 +133,11 @@
         choice: Choice,
     ) -> Outcome:
         if isinstance(choice, SendTo):
-            self._placer.note_sent(choice, request)
+            self._placer.record_sent(choice, request)
             return await self._attempts.at_target(
                 request, answer, progress, choice.estimate
             )
-        if isinstance(choice, PassTo):
+        if isinstance(choice, RelayTo):
             return await self._attempts.at_region(
                 request, answer, progress, choice.region
             )
@@ -147,11 +147,11 @@
         if progress.sends == 0:
             # The host that got the request from its caller counts it.
             if not request.is_relayed:
-                self._budgets.note_request(request.service_name)
+                self._budgets.record_request(request.service_name)
             return True
         if progress.turned_down >= TURNED_DOWN_LIMIT:
             return False
-        return self._budgets.take(request.service_name)
+        return self._budgets.try_spend(request.service_name)
 
     def _may_repeat(
         self,
--- a/jacinthfold/proxy/progress.py
+++ b/jacinthfold/proxy/progress.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from jacinthfold.placement.decision import Choice, PassTo, Refuse, SendTo
+from jacinthfold.placement.decision import Choice, Reject, RelayTo, SendTo
 from jacinthfold.proxy.outcome import Ending, Outcome
 from jacinthfold.quota.permits import Permit
 from jacinthfold.request.messages import Request
@@ -64,7 +64,7 @@
         """Tell whether any target may have begun to work on the request."""
         return self.is_out or self.runs > 0
 
-    def note_refused(self, refusal: Refuse) -> None:
+    def note_refused(self, refusal: Reject) -> None:
         """Take that nothing could be chosen."""
         self.reason = self.reason or refusal.reason
         self.after_seconds = refusal.after_seconds
@@ -94,7 +94,7 @@
         if isinstance(choice, SendTo):
             self.last_place = choice.estimate.target.record.instance
             self.tried.add(self.last_place)
-        if isinstance(choice, PassTo):
+        if isinstance(choice, RelayTo):
             self.last_place = choice.region.name
             self.tried_regions.add(choice.region.name)
         self.reason = outcome.reason
--- a/jacinthfold/proxy/request_log.py
+++ b/jacinthfold/proxy/request_log.py
@@ -1,7 +1,7 @@
 """Log what was decided for a request, and from what."""
 
 from jacinthfold import logs
-from jacinthfold.placement.decision import Choice, PassTo, Refuse, SendTo
+from jacinthfold.placement.decision import Choice, Reject, RelayTo, SendTo
 from jacinthfold.proxy.outcome import Outcome
 from jacinthfold.proxy.progress import QUARANTINED, Progress
 from jacinthfold.quarantine.quarantine import Refusal
@@ -22,10 +22,10 @@
             expected_seconds=estimate.seconds,
             prompt_tokens=request.facts.prompt_tokens,
             cached_tokens=estimate.cached_tokens,
-            copied_from=estimate.keeper_name,
+            copied_from=estimate.copy_source_name,
             failing_share=estimate.target.failing_share,
         )
-    if isinstance(choice, PassTo):
+    if isinstance(choice, RelayTo):
         logs.event(
             'request_passed_on',
             request=request.facts.request_id,
@@ -36,9 +36,9 @@
         )
 
 
-def log_refusal(request: Request, refusal: Refuse) -> None:
+def log_refusal(request: Request, refusal: Reject) -> None:
     """Log that nothing could be chosen, and what was expected."""
-    here, elsewhere = refusal.here, refusal.elsewhere
+    here, elsewhere = refusal.local_estimate, refusal.remote_region
     logs.event(
         'request_refused',
         request=request.facts.request_id,
--- a/jacinthfold/proxy/unread.py
+++ b/jacinthfold/proxy/unread.py
@@ -12,17 +12,17 @@
         facts = request.facts
         target = estimate.target
         self._target = target
-        self._unread = round(estimate.work)
+        self._unread = round(estimate.token_cost)
         self._held = facts.prompt_tokens + facts.output_tokens
         target.own.requests += 1
-        target.own.unread_tokens += self._unread
+        target.own.pending_prefill_tokens += self._unread
         self._urgent = self._unread if request.is_urgent else 0
         target.own.urgent_tokens += self._urgent
         target.own.held_tokens += self._held
 
     def note_read(self) -> None:
         """Take that the prompt has been read."""
-        self._target.own.unread_tokens -= self._unread
+        self._target.own.pending_prefill_tokens -= self._unread
         self._target.own.urgent_tokens -= self._urgent
         self._unread = 0
         self._urgent = 0
--- a/jacinthfold/quarantine/presence.py
+++ b/jacinthfold/quarantine/presence.py
@@ -69,7 +69,7 @@
     def note_heard(self, clock: Clock) -> None:
         """Take that something of the answer came."""
         now = clock.monotonic()
-        self.target.heard_at = now
+        self.target.last_received_at = now
         self.is_begun = True
         if self.begun_at is None:
             self.begun_at = now
--- a/tests/gateway/peak.py
+++ b/tests/gateway/peak.py
@@ -27,7 +27,7 @@
         self.free_at = 0.0
         self.cache = OrderedDict()
 
-    def kept(self, parts):
+    def cached_tokens(self, parts):
         tokens, name = 0, ''
         for part in parts:
             name += f'/{part.name}'
@@ -36,7 +36,7 @@
             tokens += part.tokens
         return tokens
 
-    def read(self, parts, kept_tokens, now):
+    def read(self, parts, reused_tokens, now):
         """Return when the prompt has been read."""
         name = ''
         for part in parts:
@@ -45,7 +45,7 @@
             self.cache.move_to_end(name)
         while sum(self.cache.values()) > CACHE_TOKENS:
             self.cache.popitem(last=False)
-        tokens = sum(part.tokens for part in parts) - kept_tokens
+        tokens = sum(part.tokens for part in parts) - reused_tokens
         begins_at = max(now, self.free_at)
         self.free_at = begins_at + tokens / READ_TOKENS_PER_SECOND
         return self.free_at
@@ -64,7 +64,7 @@
                 scene.add(instance)
         self.reading = []
         self.asked_tokens = 0
-        self.kept_tokens = 0
+        self.reused_tokens = 0
         self.refused = 0
         self.waits = []
 
@@ -79,9 +79,9 @@
                 self._report(now)
             self._place(number, now)
 
-    def kept_share(self):
+    def reused_share(self):
         """Return which share of the shared tokens was not read again."""
-        return self.kept_tokens / self.asked_tokens
+        return self.reused_tokens / self.asked_tokens
 
     def late_share(self):
         """Return which share was read too late for the aim, or refused."""
@@ -102,19 +102,21 @@
         if not isinstance(choice, SendTo):
             self.refused += 1
             return
-        scene.placer.note_sent(choice, request)
+        scene.placer.record_sent(choice, request)
         target = choice.estimate.target
         engine = self.engines[target.record.instance]
-        kept = engine.kept(parts)
-        if choice.estimate.keeper is not None:
-            keeper = choice.estimate.keeper.record.instance
-            kept = max(kept, self.engines[keeper].kept(parts))
-        ends_at = engine.read(parts, kept, now)
+        cached = engine.cached_tokens(parts)
+        if choice.estimate.copy_source is not None:
+            source_instance = choice.estimate.copy_source.record.instance
+            cached = max(
+                cached, self.engines[source_instance].cached_tokens(parts)
+            )
+        ends_at = engine.read(parts, cached, now)
         unread = request.facts.prompt_tokens - choice.estimate.cached_tokens
         target.own.add(Load(1, unread, request.facts.prompt_tokens))
         self.reading.append((ends_at, target, unread))
         self.asked_tokens += SYSTEM_TOKENS + SUBJECT_TOKENS
-        self.kept_tokens += kept
+        self.reused_tokens += cached
         self.waits.append(ends_at - now)
 
     def _finish(self, now):
@@ -129,9 +131,11 @@
             for instance, load in scene.targets.own_loads().items():
                 loads[instance] = Load()
                 loads[instance].add(load)
-            read_tokens = scene.targets.own_read_tokens()
-            uses = scene.targets.recent_uses.by_life(now)
+            prefilled_tokens = scene.targets.own_prefilled_tokens()
+            uses = scene.targets.recent_uses.by_incarnation(now)
             for other in self.scenes:
                 if other is not scene:
-                    other.targets.take_report(f'h{number}', loads, now)
-                    other.targets.take_uses(f'h{number}', read_tokens, uses)
+                    other.targets.update_loads(f'h{number}', loads, now)
+                    other.targets.update_cached_prefixes(
+                        f'h{number}', prefilled_tokens, uses
+                    )
--- a/tests/gateway/test_collectors.py
+++ b/tests/gateway/test_collectors.py
@@ -282,14 +282,14 @@
     sender = next(name for name in fleet.hosts if name != first)
     observer = next(n for n in fleet.hosts if n not in {first, sender})
     target = fleet.hosts[sender].scene.targets.find('i-0')
-    target.own_read_tokens = 1000.0
+    target.own_prefilled_tokens = 1000.0
     fleet.run(SETTLED_SECONDS)
     fleet.hosts[first].is_running = False
     fleet.run(SETTLED_SECONDS)
-    target.own_read_tokens = 3000.0
+    target.own_prefilled_tokens = 3000.0
     fleet.run(SETTLED_SECONDS)
-    kept = fleet.hosts[observer].scene.targets.find('i-0').kept
-    assert kept.read_tokens == 3000.0
+    kept = fleet.hosts[observer].scene.targets.find('i-0').cached_prefixes
+    assert kept.prefilled_tokens == 3000.0
 
 
 def test_growth_of_totals_is_not_counted_from_one_maker_to_the_next():
@@ -298,13 +298,13 @@
     The difference between their counts says nothing of what was read.
     """
     scene = Scene()
-    kept = scene.add('i-0').kept
+    kept = scene.add('i-0').cached_prefixes
     old, new = ('h1', 1), ('h2', 1)
     for maker, total in ((old, 200.0), (old, 300.0), (new, 9000.0)):
-        scene.targets.take_totals('n-1', maker, {'i-0': total})
-    assert kept.read_tokens == 100.0
-    scene.targets.take_totals('n-1', new, {'i-0': 9050.0})
-    assert kept.read_tokens == 150.0
+        scene.targets.update_prefill_totals('n-1', maker, {'i-0': total})
+    assert kept.prefilled_tokens == 100.0
+    scene.targets.update_prefill_totals('n-1', new, {'i-0': 9050.0})
+    assert kept.prefilled_tokens == 150.0
 
 
 def test_uses_of_shared_parts_reach_the_whole_region():
@@ -313,20 +313,20 @@
     fleet.run(SETTLED_SECONDS)
     sender = fleet.hosts['h000']
     now = fleet.clock.monotonic()
-    sender.scene.targets.recent_uses.note('i-0', '/system/subject', now)
+    sender.scene.targets.recent_uses.record_use('i-0', '/system/subject', now)
     fleet.run(1.5)
     for name, host in fleet.hosts.items():
-        kept = host.scene.targets.find('i-0').kept
+        kept = host.scene.targets.find('i-0').cached_prefixes
         assert name == 'h000' or '/system/subject' in kept._uses
 
 
 def test_laws_of_a_region_are_learned_by_all():
     fleet = Fleet(20)
     sums = [float(number + 1) for number in range(9)]
-    fleet.hosts['h001'].scene.targets.laws.of('model')._own = sums
+    fleet.hosts['h001'].scene.targets.latency_models.of('model')._own = sums
     fleet.run(4.0)
-    law = fleet.hosts['h000'].scene.targets.laws.of('model')
-    assert [heard for _, heard in law._heard.values()] == [sums]
+    law = fleet.hosts['h000'].scene.targets.latency_models.of('model')
+    assert [heard for _, heard in law._peer_sums.values()] == [sums]
 
 
 @given(st.binary(max_size=300))
--- a/tests/gateway/test_heartbeat.py
+++ b/tests/gateway/test_heartbeat.py
@@ -51,7 +51,7 @@
     for number in range(20):
         target = peer.scene.add(f'i-{digest(number)}')
         target.own = Load(number % 5 + 1, 300 * number, 9000 * number, 0)
-        target.own_read_tokens = 10000.0 * number
+        target.own_prefilled_tokens = 10000.0 * number
     return peer
 
 
--- a/tests/gateway/test_herd.py
+++ b/tests/gateway/test_herd.py
@@ -5,7 +5,11 @@
 import pytest
 
 from jacinthfold.placement.decision import SendTo
-from jacinthfold.placement.herd import LEAST_SPREAD_SECONDS, NEWS_SECONDS, Herd
+from jacinthfold.placement.jitter import (
+    LOAD_DATA_AGE_SECONDS,
+    MIN_JITTER_SECONDS,
+    LoadJitter,
+)
 from jacinthfold.placement.target import Load
 from tests.fakes import FakeClock
 from tests.gateway.test_placement import Scene
@@ -16,7 +20,7 @@
 # Of four targets, as they were learned: they differ by what says nothing.
 CALL_SECONDS = {f'i-{n}': 0.055 + 0.003 * n for n in range(4)}
 PER_SECOND = 200
-NEWS_EVERY_SECONDS = 0.3
+REPORT_EVERY_SECONDS = 0.3
 
 
 class Desk:
@@ -47,26 +51,26 @@
         names = [f'h{number}' for number in range(HOSTS)]
         self.scenes = [Scene(name, self.clock) for name in names]
         for scene in self.scenes:
-            scene.pace.follow_hosts(names)
+            scene.pace.update_hosts(names)
             for instance, seconds in CALL_SECONDS.items():
                 target = scene.add(instance, 'desk', slots=SLOTS)
                 target.seconds_per_call = seconds
         self.desks = {one: Desk(taken) for one, taken in CALL_SECONDS.items()}
-        self.out = []
+        self.in_flight = []
 
     def run(self, seconds):
         """Return how many calls were made and turned away."""
-        told_at = self.clock.monotonic()
+        reported_at = self.clock.monotonic()
         calls = int(seconds * PER_SECOND)
         for _ in range(calls):
             self.clock.advance(self.random.expovariate(PER_SECOND))
             now = self.clock.monotonic()
-            for ended in [one for one in self.out if one[0] <= now]:
-                self.out.remove(ended)
+            for ended in [one for one in self.in_flight if one[0] <= now]:
+                self.in_flight.remove(ended)
                 ended[1].own.add(Load(-1))
-            if now - told_at > NEWS_EVERY_SECONDS:
-                told_at = now
-                self.tell(now)
+            if now - reported_at > REPORT_EVERY_SECONDS:
+                reported_at = now
+                self.report(now)
             self.place(now)
         return calls, sum(desk.rejected for desk in self.desks.values())
 
@@ -75,26 +79,26 @@
         request = scene.request(0, 'desk', aim_seconds=0.6)
         choice = scene.choose(request)
         assert isinstance(choice, SendTo)
-        scene.placer.note_sent(choice, request)
+        scene.placer.record_sent(choice, request)
         target = choice.estimate.target
         end = self.desks[target.record.instance].take(now)
         if end is not None:
             target.own.add(Load(1))
-            self.out.append((end, target))
+            self.in_flight.append((end, target))
 
-    def tell(self, now):
+    def report(self, now):
         for scene in self.scenes:
             loads = {}
             for other in self.scenes:
                 if other is scene:
                     continue
-                for life, load in other.targets.own_loads().items():
-                    loads.setdefault(life, Load()).add(load)
-            scene.targets.take_report('sum', loads, now)
+                for incarnation_id, load in other.targets.own_loads().items():
+                    loads.setdefault(incarnation_id, Load()).add(load)
+            scene.targets.update_loads('sum', loads, now)
 
 
 @pytest.mark.parametrize('seed', range(2))
-def test_hosts_that_hear_the_same_don_t_all_choose_the_same(seed):
+def test_hosts_with_the_same_load_data_spread_their_choices(seed):
     """Forty hosts send 200 calls a second to targets that could serve 400.
 
     All hear every 0.3 s which one has fewest calls, and would send to that one
@@ -105,20 +109,22 @@
     assert rejected < 0.01 * calls
 
 
-def test_lone_host_knows_all_that_is_sent():
-    herd = Herd()
+def test_single_host_needs_no_extra_jitter():
+    jitter = LoadJitter()
     for number in range(50):
-        herd.note_sent('desk', number / 10)
-    assert herd.spread_seconds('desk', 0.01, 1, 5.0) == LEAST_SPREAD_SECONDS
-    assert herd.spread_seconds('other', 0.01, 9, 5.0) == LEAST_SPREAD_SECONDS
+        jitter.record_sent('desk', number / 10)
+    assert jitter.jitter_seconds('desk', 0.01, 1, 5.0) == MIN_JITTER_SECONDS
+    assert jitter.jitter_seconds('other', 0.01, 9, 5.0) == MIN_JITTER_SECONDS
 
 
-def test_spread_follows_the_load_and_the_hosts():
+def test_jitter_grows_with_load_and_hosts():
     """Ten calls a second of each host, twenty others, 10 ms of work each."""
-    herd = Herd()
+    jitter = LoadJitter()
     for number in range(200):
-        herd.note_sent('desk', number / 10)
-    spread = herd.spread_seconds('desk', 0.01, 21, 20.0)
-    assert spread == pytest.approx(10 * 20 * NEWS_SECONDS * 0.01, rel=0.1)
-    later = herd.spread_seconds('desk', 0.01, 21, 50.0)
-    assert later == LEAST_SPREAD_SECONDS
+        jitter.record_sent('desk', number / 10)
+    spread = jitter.jitter_seconds('desk', 0.01, 21, 20.0)
+    assert spread == pytest.approx(
+        10 * 20 * LOAD_DATA_AGE_SECONDS * 0.01, rel=0.1
+    )
+    later = jitter.jitter_seconds('desk', 0.01, 21, 50.0)
+    assert later == MIN_JITTER_SECONDS
--- a/tests/gateway/test_kept.py
+++ b/tests/gateway/test_kept.py
@@ -1,6 +1,10 @@
 """What is believed of the parts that a target keeps."""
 
-from jacinthfold.placement.kept import TOLD_SECONDS, KeptParts, RecentUses
+from jacinthfold.placement.prefix_cache import (
+    USE_REPORT_SECONDS,
+    CachedPrefixes,
+    RecentPrefixUses,
+)
 from jacinthfold.request.messages import PromptPart, RequestFacts
 
 MEMORY_TOKENS = 100000
@@ -12,38 +16,38 @@
     return facts.chain
 
 
-def test_nothing_is_kept_that_nobody_sent():
-    assert KeptParts().tokens(chain('a', 'own'), MEMORY_TOKENS) == 0
+def test_prefix_that_nobody_sent_is_not_cached():
+    assert CachedPrefixes().cached_tokens(chain('a', 'own'), MEMORY_TOKENS) == 0
 
 
-def test_part_is_kept_only_with_all_before_it():
-    kept = KeptParts()
-    kept.note(link.name for link in chain('a', 'b'))
-    assert kept.tokens(chain('a', 'b', 'own'), MEMORY_TOKENS) == 10000
-    assert kept.tokens(chain('x', 'b', 'own'), MEMORY_TOKENS) == 0
+def test_segment_is_cached_only_with_all_before_it():
+    cached = CachedPrefixes()
+    cached.record_use(link.name for link in chain('a', 'b'))
+    assert cached.cached_tokens(chain('a', 'b', 'own'), MEMORY_TOKENS) == 10000
+    assert cached.cached_tokens(chain('x', 'b', 'own'), MEMORY_TOKENS) == 0
 
 
-def test_newer_prompts_fill_the_memory():
+def test_newer_prompts_evict_older_prefixes():
     """A subject is asked for again after 80,000 tokens of other prompts."""
-    kept = KeptParts()
-    kept.note(['/a'])
-    kept.note_read(50000)
-    assert kept.tokens(chain('a'), MEMORY_TOKENS) == 5000
-    kept.take_counter('b', 30000)
-    assert kept.tokens(chain('a'), MEMORY_TOKENS) == 0
-
-
-def test_counter_of_a_host_that_started_again_adds_up():
-    kept = KeptParts()
-    kept.take_counter('b', 30000)
-    kept.take_counter('b', 30000)
-    kept.take_counter('b', 10000)
-    assert kept.read_tokens == 40000
-
-
-def test_uses_are_told_for_a_while():
-    uses = RecentUses()
-    uses.note('i-1', '/a', 1.0)
-    uses.note('i-2', '/b', 1.5)
-    assert uses.by_life(1.6) == {'i-1': ['/a'], 'i-2': ['/b']}
-    assert uses.by_life(1.1 + TOLD_SECONDS) == {'i-2': ['/b']}
+    cached = CachedPrefixes()
+    cached.record_use(['/a'])
+    cached.add_prefilled(50000)
+    assert cached.cached_tokens(chain('a'), MEMORY_TOKENS) == 5000
+    cached.update_counter('b', 30000)
+    assert cached.cached_tokens(chain('a'), MEMORY_TOKENS) == 0
+
+
+def test_counter_of_a_restarted_host_adds_up():
+    cached = CachedPrefixes()
+    cached.update_counter('b', 30000)
+    cached.update_counter('b', 30000)
+    cached.update_counter('b', 10000)
+    assert cached.prefilled_tokens == 40000
+
+
+def test_uses_are_reported_for_a_while():
+    uses = RecentPrefixUses()
+    uses.record_use('i-1', '/a', 1.0)
+    uses.record_use('i-2', '/b', 1.5)
+    assert uses.by_incarnation(1.6) == {'i-1': ['/a'], 'i-2': ['/b']}
+    assert uses.by_incarnation(1.1 + USE_REPORT_SECONDS) == {'i-2': ['/b']}
--- a/tests/gateway/test_limit_changes.py
+++ b/tests/gateway/test_limit_changes.py
@@ -4,7 +4,7 @@
 from tests.gateway.test_limit_shares import Region
 
 
-def test_host_that_just_started_is_told_of_limits():
+def test_host_that_just_started_learns_limits_from_peers():
     """Guards against new hosts that each have to find out at the target."""
     region = Region(24)
     region.run(5, per_second=50)
--- a/tests/gateway/test_limit_shares.py
+++ b/tests/gateway/test_limit_shares.py
@@ -6,9 +6,9 @@
 import pytest
 
 from jacinthfold.fleet.digest_message import Digest
-from jacinthfold.placement.decision import Refuse, SendTo
-from jacinthfold.placement.limit_shares import GRANTED_SHARE
-from jacinthfold.placement.returns import LONGEST_SECONDS
+from jacinthfold.placement.decision import Reject, SendTo
+from jacinthfold.placement.limit_shares import GRANTED_FRACTION
+from jacinthfold.placement.retry_schedule import MAX_RETRY_AFTER_SECONDS
 from jacinthfold.proxy.delivery import Delivery
 from jacinthfold.proxy.progress import Progress
 from jacinthfold.request.messages import AnswerFacts, AnswerHead
@@ -55,7 +55,7 @@
             self.fleet.run(STEP_SECONDS)
             for host in self.fleet.running().values():
                 names = [one.name for one in host.hosts.serving('north')]
-                host.scene.placer.limit_shares.follow_hosts(names)
+                host.scene.placer.limit_shares.update_hosts(names)
             self._answer()
             wanted = per_second * STEP_SECONDS
             count = int(wanted) + (self.random.random() < wanted % 1)
@@ -66,7 +66,7 @@
         for host, target, sent_at, per_second in self._answers:
             if host.is_running:
                 clock = self.fleet.clock
-                target.pushback.note_answer(
+                target.pushback.record_answer(
                     answer(per_second), sent_at, clock.monotonic()
                 )
         self._answers = []
@@ -77,11 +77,11 @@
         host = running[self.random.choice(names)]
         request = host.scene.request(500)
         choice = host.scene.choose(request)
-        if isinstance(choice, Refuse):
+        if isinstance(choice, Reject):
             self.refused.append((self.now, choice))
             return
         assert isinstance(choice, SendTo)
-        host.scene.placer.note_sent(choice, request)
+        host.scene.placer.record_sent(choice, request)
         target = choice.estimate.target
         instance = target.record.instance
         self.arrivals[instance].append(self.now)
@@ -174,7 +174,7 @@
     assert region.most('i-0', since) <= allowed(0.8)
 
 
-def test_all_targets_in_need_refuse_at_once_and_spread_returns():
+def test_all_limited_targets_reject_at_once_and_spread_retries():
     """Guards against callers that wait, or come back together for nothing."""
     region = Region(4)
     region.run(5, per_second=40)
@@ -185,41 +185,44 @@
         assert region.most(instance, since) <= allowed(2.0)
     late = [choice for at, choice in region.refused if at >= since]
     assert {choice.reason for choice in late} == {'target_limits'}
-    assert max(choice.after_seconds for choice in late) <= LONGEST_SECONDS + 1
+    assert (
+        max(choice.after_seconds for choice in late)
+        <= MAX_RETRY_AFTER_SECONDS + 1
+    )
     first = [choice.after_seconds for choice in late[:8]]
     assert len({round(after, 1) for after in first}) > 3
 
 
-def test_urgent_requests_have_what_is_left():
+def test_reserve_is_left_for_urgent_requests():
     """Guards against questions that wait behind drafts for a small limit."""
     scene = Scene()
     target = scene.add('i-1')
     scene.clock.advance(10)
-    target.pushback.note_answer(answer(1.0), 0.0, scene.clock.monotonic())
+    target.pushback.record_answer(answer(1.0), 0.0, scene.clock.monotonic())
     # One request is saved up: enough for an urgent one alone.
     scene.choose(scene.request())
-    scene.clock.advance(1.2 / GRANTED_SHARE)
+    scene.clock.advance(1.2 / GRANTED_FRACTION)
     ordinary = scene.request()
     urgent = scene.request(priority=0)
-    assert isinstance(scene.choose(ordinary), Refuse)
+    assert isinstance(scene.choose(ordinary), Reject)
     assert isinstance(scene.choose(urgent), SendTo)
 
 
-def test_request_chosen_before_the_limit_was_heard_is_not_sent():
+def test_request_chosen_before_the_limit_was_reported_is_not_sent():
     """Guards against a request that waited for its connection meanwhile."""
     scene = Scene()
     target = scene.add('i-1')
     request = scene.request()
     choice = scene.choose(request)
-    scene.placer.note_sent(choice, request)
+    scene.placer.record_sent(choice, request)
     counted = choice.estimate.is_counted
-    assert not target.pushback.barrier_reason(0.0, is_counted=counted)
-    target.pushback.note_answer(answer(1.0), 0.0, scene.clock.monotonic())
+    assert not target.pushback.rejection_reason(0.0, is_counted=counted)
+    target.pushback.record_answer(answer(1.0), 0.0, scene.clock.monotonic())
     assert (
-        target.pushback.barrier_reason(0.0, is_counted=counted)
+        target.pushback.rejection_reason(0.0, is_counted=counted)
         == 'target_limit'
     )
-    assert not target.pushback.barrier_reason(0.0, is_counted=True)
+    assert not target.pushback.rejection_reason(0.0, is_counted=True)
 
 
 def test_gate_before_the_send_asks_the_target():
@@ -233,12 +236,12 @@
     assert delivery.barrier_reason == 'target_limit'
 
 
-def test_answer_of_another_target_says_nothing_of_this_one():
+def test_misdirected_answer_sets_no_limit():
     """Guards against an address that is used again by another target."""
     scene = Scene()
     target = scene.add('i-1')
     wrong = answer(1.0, HTTPStatus.MISDIRECTED_REQUEST)
-    target.pushback.note_answer(wrong, 0.0, scene.clock.monotonic())
+    target.pushback.record_answer(wrong, 0.0, scene.clock.monotonic())
     assert target.pushback.limit.per_second is None
 
 
@@ -246,29 +249,31 @@
     """Guards against a limit that the target's errors lift."""
     scene = Scene()
     target = scene.add('i-1')
-    target.pushback.note_answer(answer(1.0), 0.0, scene.clock.monotonic())
+    target.pushback.record_answer(answer(1.0), 0.0, scene.clock.monotonic())
     scene.clock.advance(1)
     sent_at = scene.clock.monotonic()
-    target.pushback.note_answer(
+    target.pushback.record_answer(
         answer(None, 500), sent_at, scene.clock.monotonic()
     )
     assert target.pushback.limit.per_second == 1.0
-    target.pushback.note_answer(answer(None), sent_at, scene.clock.monotonic())
+    target.pushback.record_answer(
+        answer(None), sent_at, scene.clock.monotonic()
+    )
     assert target.pushback.limit.per_second is None
 
 
-def test_next_life_has_no_limit_and_late_answers_don_t_mark_it():
+def test_next_incarnation_has_no_limit_and_ignores_late_answers():
     """Guards against a limit that outlives the process that named it."""
     scene = Scene()
     first = scene.add('i-1', born_ms=1)
-    first.pushback.note_answer(answer(1.0), 0.0, scene.clock.monotonic())
+    first.pushback.record_answer(answer(1.0), 0.0, scene.clock.monotonic())
     again = scene.add('i-1', born_ms=born_now(scene))
-    first.pushback.note_answer(answer(1.0), 0.0, scene.clock.monotonic())
+    first.pushback.record_answer(answer(1.0), 0.0, scene.clock.monotonic())
     assert again.pushback.limit.per_second is None
 
 
 @pytest.mark.parametrize(
-    'word',
+    'report',
     [
         (float('nan'), 0, 0),
         (-1.0, 0, 0),
@@ -278,12 +283,12 @@
         (1.0, 0, 10**15),
     ],
 )
-def test_words_that_are_none_change_nothing(word):
+def test_invalid_limit_reports_are_ignored(report):
     """Guards against a neighbour's figures that no target can have named."""
     region = Region(2)
     host = region.fleet.hosts['h000']
     digest = Digest('north', 'n-2', 'x', 1, '10.9.9.9', 0, 1, 0, [])
-    digest.limits = {'i-0': word}
+    digest.limits = {'i-0': report}
     host.heartbeats._digests.take(digest)
     assert host.scene.targets.find('i-0').pushback.limit.per_second is None
 
@@ -292,10 +297,10 @@
     """Guards against a target in need that the store's outage makes new."""
     scene = Scene()
     target = scene.add('i-1', born_ms=1)
-    target.pushback.note_answer(answer(1.0), 0.0, scene.clock.monotonic())
+    target.pushback.record_answer(answer(1.0), 0.0, scene.clock.monotonic())
     scene.targets.remove('i-1')
     scene.clock.advance(5)
-    assert scene.targets.forget_gone() == [target]
+    assert scene.targets.drop_expired() == [target]
     again = scene.add('i-1', born_ms=1)
     assert again.pushback.limit.per_second == 1.0
     assert (
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -10,8 +10,8 @@
 from jacinthfold.placement import limits
 from jacinthfold.placement.budget import RetryBudgets
 from jacinthfold.placement.choice import Placer
-from jacinthfold.placement.decision import PassTo, Refuse, SendTo
-from jacinthfold.placement.pace import ColdPace
+from jacinthfold.placement.decision import Reject, RelayTo, SendTo
+from jacinthfold.placement.pace import ColdTargetPacer
 from jacinthfold.placement.regions import RegionReport, RegionView
 from jacinthfold.placement.target import Load
 from jacinthfold.placement.targets import TargetTable
@@ -34,8 +34,8 @@
         engine.copy_seconds_per_token = 5e-7
         engine.cold_seconds = 3.0
         engine.cold_requests_per_second = 3.3
-        self.targets.follow_services({'model': engine, 'desk': Service('desk')})
-        self.pace = ColdPace(host, self.clock)
+        self.targets.update_services({'model': engine, 'desk': Service('desk')})
+        self.pace = ColdTargetPacer(host, self.clock)
         self.regions = RegionView(region, self.clock)
         self.placer = Placer(
             region,
@@ -54,14 +54,16 @@
         self.targets.put(record)
         return self.targets.find(instance)
 
-    def hear(self, wait_seconds, *, host='s', count=1, region='south'):
+    def receive_report(
+        self, wait_seconds, *, host='s', count=1, region='south'
+    ):
         report = RegionReport(
             region,
             self.clock.monotonic(),
             {name: (wait_seconds, wait_seconds) for name in ('model', 'desk')},
             {'model': count, 'desk': count},
         )
-        self.regions.take(host, report)
+        self.regions.update(host, report)
 
     def request(self, tokens=1000, service='model', **route_fields):
         facts = RequestFacts('id', 'api')
@@ -89,7 +91,7 @@
         return choice.estimate.target.record.instance
 
 
-def test_unread_prompts_count_and_not_requests():
+def test_pending_prefill_counts_and_not_requests():
     """One engine decodes many answers, another reads one long prompt.
 
     What delays a first event is the prompt that is being read.
@@ -111,9 +113,9 @@
     target.own = Load(4, 50000, 50000)
     urgent = {'aim_seconds': 0.6, 'priority': 0}
     assert scene.instance(scene.request(**urgent)) == 'i-1'
-    assert isinstance(scene.choose(scene.request(aim_seconds=0.6)), Refuse)
+    assert isinstance(scene.choose(scene.request(aim_seconds=0.6)), Reject)
     target.own = Load(4, 50000, 50000, urgent_tokens=50000)
-    assert isinstance(scene.choose(scene.request(**urgent)), Refuse)
+    assert isinstance(scene.choose(scene.request(**urgent)), Reject)
 
 
 def test_load_of_other_hosts_counts():
@@ -121,7 +123,7 @@
     scene.add('i-1')
     scene.add('i-2')
     now = scene.clock.monotonic()
-    scene.targets.take_report('b', {'i-1': Load(5, 50000, 50000)}, now)
+    scene.targets.update_loads('b', {'i-1': Load(5, 50000, 50000)}, now)
     for _ in range(8):
         assert scene.instance(scene.request()) == 'i-2'
 
@@ -130,13 +132,13 @@
     scene = Scene()
     scene.add('i-1')
     now = scene.clock.monotonic()
-    scene.targets.take_report('b', {'i-1': Load(5, 400000, 50000)}, now)
-    assert isinstance(scene.choose(scene.request()), Refuse)
-    scene.clock.advance(limits.REPORT_SECONDS + 0.1)
+    scene.targets.update_loads('b', {'i-1': Load(5, 400000, 50000)}, now)
+    assert isinstance(scene.choose(scene.request()), Reject)
+    scene.clock.advance(limits.REPORT_LIFETIME_SECONDS + 0.1)
     assert scene.instance(scene.request()) == 'i-1'
 
 
-def test_subject_returns_to_the_engine_that_has_read_it():
+def test_prompt_returns_to_the_engine_that_cached_its_prefix():
     scene = Scene()
     for number in range(4):
         scene.add(f'i-{number}')
@@ -147,13 +149,13 @@
         PromptPart('own', 2500),
     )
     first = scene.choose(request)
-    scene.placer.note_sent(first, request)
+    scene.placer.record_sent(first, request)
     chosen = first.estimate.target.record.instance
     assert scene.instance(request) == chosen
     assert scene.choose(request).estimate.cached_tokens == 9000
 
 
-def test_hot_subject_spreads_when_its_engine_is_busy():
+def test_popular_prefix_spreads_when_its_engine_is_busy():
     """A cache spares 80 ms of reading; a wait of 500 ms costs more."""
     scene = Scene()
     for number in range(3):
@@ -161,7 +163,7 @@
     request = scene.request(tokens=8000)
     request.facts.parts = (PromptPart('subject', 6000), PromptPart('own', 2000))
     first = scene.choose(request)
-    scene.placer.note_sent(first, request)
+    scene.placer.record_sent(first, request)
     first.estimate.target.own = Load(3, 40000, 40000)
     chosen = first.estimate.target.record.instance
     assert scene.instance(request) != chosen
@@ -178,7 +180,7 @@
     return request
 
 
-def test_hosts_agree_on_who_keeps_a_subject_without_asking():
+def test_hosts_prefer_the_same_target_for_a_prefix():
     """Two hosts place reviews of one subject and hear nothing of each other.
 
     Each engine that gets the subject reads it again, so they must choose the
@@ -194,7 +196,7 @@
         assert second.instance(prompt(second, subject)) == chosen
 
 
-def test_busy_keeper_of_a_subject_is_copied_from():
+def test_prefix_is_copied_from_a_busy_target():
     """The engine that keeps a subject has 0.8 s of other prompts before it.
 
     Another one that reads the subject anew spends 70 ms of reading; copying
@@ -205,26 +207,26 @@
         scene.add(f'i-{number}')
     request = prompt(scene, 'subject')
     first = scene.choose(request)
-    scene.placer.note_sent(first, request)
-    keeper = first.estimate.target
-    keeper.own = Load(5, 62000, 62000)
+    scene.placer.record_sent(first, request)
+    preferred = first.estimate.target
+    preferred.own = Load(5, 62000, 62000)
     estimate = scene.choose(prompt(scene, 'subject')).estimate
-    assert estimate.target is not keeper
-    assert estimate.keeper is keeper
+    assert estimate.target is not preferred
+    assert estimate.copy_source is preferred
     assert estimate.cached_tokens == 6000
 
 
-def test_short_shared_parts_are_read_and_not_copied():
+def test_short_shared_prefix_is_prefilled_and_not_copied():
     scene = Scene()
     for number in range(3):
         scene.add(f'i-{number}')
     request = scene.request(tokens=1800)
     request.facts.parts = (PromptPart('a', 500), PromptPart('own', 1300))
     scene.choose(request).estimate.target.own = Load(5, 62000, 62000)
-    assert scene.choose(request).estimate.keeper is None
+    assert scene.choose(request).estimate.copy_source is None
 
 
-def test_leading_part_that_few_share_keeps_prompts_together():
+def test_rare_leading_segment_keeps_prompts_together():
     """Questions begin with one of 80 parts and go on with one of thousands.
 
     Ordered by what follows, every engine reads each of the 80; by the leading
@@ -256,68 +258,68 @@
     """
     peak = Peak(Scene, seed=5)
     peak.run(seconds=12)
-    monkeypatch.setattr(limits, 'KEEPERS', 0)
-    wandering = Peak(Scene, seed=5)
-    wandering.run(seconds=12)
-    assert peak.kept_share() > 1.3 * wandering.kept_share()
-    assert peak.kept_share() > 0.55
+    monkeypatch.setattr(limits, 'PREFERRED_TARGETS', 0)
+    without_affinity = Peak(Scene, seed=5)
+    without_affinity.run(seconds=12)
+    assert peak.reused_share() > 1.3 * without_affinity.reused_share()
+    assert peak.reused_share() > 0.55
     assert peak.late_share() < 0.02
 
 
-def test_request_that_would_be_late_goes_to_a_region_with_room():
+def test_request_that_would_be_late_goes_to_a_region_with_capacity():
     """A region's only engine reads 1.3 s of prompts; the aim is 1 s."""
     scene = Scene()
     scene.add('i-1').own = Load(4, 100000, 100000)
-    scene.hear(0.05)
+    scene.receive_report(0.05)
     choice = scene.choose(scene.request())
-    assert isinstance(choice, PassTo)
+    assert isinstance(choice, RelayTo)
     assert choice.region.name == 'south'
 
 
-def test_two_full_regions_don_t_play_ball():
+def test_relayed_request_is_not_relayed_again():
     """Both regions are full; what came from the other is not sent back."""
     scene = Scene()
     scene.add('i-1').own = Load(4, 400000, 100000)
-    scene.hear(0.0)
+    scene.receive_report(0.0)
     request = scene.request()
     request.is_relayed = True
-    assert isinstance(scene.choose(request), Refuse)
+    assert isinstance(scene.choose(request), Reject)
 
 
-def test_requests_on_their_way_fill_a_region():
+def test_requests_in_transit_count_as_load():
     """A burst meets one report of an idle region.
 
     Without counting what is on its way all of it would follow.
     """
     scene = Scene()
     scene.add('i-1').own = Load(4, 400000, 100000)
-    scene.hear(0.0)
+    scene.receive_report(0.0)
     passed = 0
     for _ in range(100):
         request = scene.request(tokens=8000)
         choice = scene.choose(request)
-        if isinstance(choice, PassTo):
-            scene.regions.note_passed(request, choice.region)
+        if isinstance(choice, RelayTo):
+            scene.regions.record_relayed(request, choice.region)
             passed += 1
     assert 3 <= passed <= 10
 
 
-def test_questions_on_their_way_don_t_fill_a_region_with_room():
+def test_small_requests_in_transit_don_t_fill_a_region():
     """A region's engines are evacuated; its 80 questions a second go elsewhere.
 
     Each takes 6 ms of reading there. Counted with the time to their first
     events they fill the other region within a second, and half are refused.
     """
     scene = Scene()
-    scene.hear(0.0, count=2)
+    scene.receive_report(0.0, count=2)
     refused = 0
     for _ in range(240):
         scene.clock.advance(1 / 80)
-        scene.hear(0.05, count=2)
+        scene.receive_report(0.05, count=2)
         request = scene.request(tokens=380, aim_seconds=1.5, priority=0)
         choice = scene.choose(request)
-        if isinstance(choice, PassTo):
-            scene.regions.note_passed(request, choice.region)
+        if isinstance(choice, RelayTo):
+            scene.regions.record_relayed(request, choice.region)
         else:
             refused += 1
     assert refused == 0
@@ -326,11 +328,11 @@
 def test_region_that_is_not_allowed_is_never_chosen():
     scene = Scene()
     scene.add('i-1').own = Load(4, 400000, 100000)
-    scene.hear(0.0)
+    scene.receive_report(0.0)
     request = scene.request(home_regions=frozenset(['north']))
-    assert isinstance(scene.choose(request), Refuse)
+    assert isinstance(scene.choose(request), Reject)
     away = scene.request(home_regions=frozenset(['south']))
-    assert isinstance(scene.choose(away), PassTo)
+    assert isinstance(scene.choose(away), RelayTo)
 
 
 def test_refusals_spread_the_returns():
@@ -361,19 +363,19 @@
     scene.add('i-2')
     request = scene.request()
     scene.clock.advance(3)
-    assert isinstance(scene.choose(request), Refuse)
+    assert isinstance(scene.choose(request), Reject)
     assert scene.instance(request, tried=['i-1']) == 'i-2'
 
 
-def test_failing_targets_are_set_aside_but_never_all():
+def test_failing_targets_are_ejected_but_never_all():
     scene = Scene()
     bad, good = scene.add('i-1'), scene.add('i-2')
     now = scene.clock.monotonic()
     for _ in range(limits.FAILURES_TO_EJECT):
-        bad.note_failure(now, is_unreachable=False)
+        bad.record_failure(now, is_unreachable=False)
     assert scene.instance(scene.request()) == 'i-2'
     for _ in range(limits.FAILURES_TO_EJECT):
-        good.note_failure(now, is_unreachable=False)
+        good.record_failure(now, is_unreachable=False)
     assert isinstance(scene.choose(scene.request()), SendTo)
     scene.clock.advance(limits.EJECT_LIMIT_SECONDS)
     assert bad.ejected_until < scene.clock.monotonic()
@@ -388,9 +390,9 @@
     scene = Scene()
     now = scene.clock.monotonic()
     for name in ('i-1', 'i-2'):
-        scene.add(name).note_failure(now, is_unreachable=True)
-    scene.hear(0.1)
-    assert isinstance(scene.choose(scene.request()), PassTo)
+        scene.add(name).record_failure(now, is_unreachable=True)
+    scene.receive_report(0.1)
+    assert isinstance(scene.choose(scene.request()), RelayTo)
     assert scene.placer.room('model', is_urgent=False) is None
     scene.clock.advance(limits.EJECT_SECONDS)
     assert isinstance(scene.choose(scene.request()), SendTo)
@@ -405,7 +407,7 @@
     scene.targets.remove('i-2')
     assert isinstance(scene.choose(scene.request()), SendTo)
     scene.clock.advance(limits.LAST_RESORT_SECONDS + 0.01)
-    assert isinstance(scene.choose(scene.request()), Refuse)
+    assert isinstance(scene.choose(scene.request()), Reject)
 
 
 def test_target_first_seen_when_it_leaves_is_leaving():
@@ -421,20 +423,20 @@
         assert scene.instance(scene.request()) == 'i-2'
     scene.targets.remove('i-2')
     scene.clock.advance(limits.LAST_RESORT_SECONDS + 0.01)
-    assert isinstance(scene.choose(scene.request()), Refuse)
+    assert isinstance(scene.choose(scene.request()), Reject)
 
 
 def test_drained_target_is_forgotten_once_its_record_is_gone():
     scene = Scene()
     scene.add('i-1', is_draining=True)
     scene.clock.advance(limits.LAST_RESORT_SECONDS + 0.01)
-    assert not scene.targets.forget_gone()
+    assert not scene.targets.drop_expired()
     scene.targets.remove('i-1')
-    assert len(scene.targets.forget_gone()) == 1
+    assert len(scene.targets.drop_expired()) == 1
     assert not scene.targets.all()
 
 
-def test_plain_service_prefers_free_places():
+def test_plain_service_prefers_free_slots():
     scene = Scene()
     scene.add('i-1', 'desk', slots=6).own = Load(9)
     scene.add('i-2', 'desk', slots=6).own = Load(2)
@@ -451,7 +453,7 @@
         for number, name in enumerate(names):
             scene = Scene(name, self.clock)
             scene.add(engine, cold_seconds=5.0)
-            scene.pace.follow_hosts(views[number] if views else names)
+            scene.pace.update_hosts(views[number] if views else names)
             self.hosts.append(scene)
 
     def sent_within(self, seconds, pause_seconds=0.02):
@@ -463,7 +465,7 @@
                 request = scene.request()
                 choice = scene.choose(request)
                 if isinstance(choice, SendTo):
-                    scene.placer.note_sent(choice, request)
+                    scene.placer.record_sent(choice, request)
                     times.append(self.clock.monotonic())
             self.clock.advance(pause_seconds)
         return times
@@ -515,7 +517,7 @@
     scene = Scene()
     target = scene.add('i-1')
     scene.targets.evacuate('n-1', is_evacuated=True)
-    assert isinstance(scene.choose(scene.request()), Refuse)
+    assert isinstance(scene.choose(scene.request()), Reject)
     scene.targets.evacuate('n-1', is_evacuated=False)
     assert target.cold_until > scene.clock.monotonic()
 
@@ -530,15 +532,15 @@
     clock = FakeClock()
     hosts = [RetryBudgets(0.2, 56, 10, clock) for _ in range(8)]
     for budgets in hosts:
-        budgets.follow_hosts(8)
+        budgets.update_hosts(8)
     requests, repeats = [], []
     for pause, is_repeat in steps:
         clock.advance(pause)
         for budgets in hosts:
-            if is_repeat and budgets.take('desk'):
+            if is_repeat and budgets.try_spend('desk'):
                 repeats.append(clock.monotonic())
             if not is_repeat:
-                budgets.note_request('desk')
+                budgets.record_request('desk')
                 requests.append(clock.monotonic())
     for end in repeats:
         recent = [one for one in repeats if end - 10 < one <= end]
@@ -546,16 +548,16 @@
         assert len(recent) <= 0.2 * len(asked) + 56
 
 
-def test_hosts_that_are_out_of_touch_keep_their_part_of_the_slack():
+def test_disconnected_hosts_still_count_in_the_slack_split():
     clock = FakeClock()
     budgets = RetryBudgets(0.2, 100, 10, clock)
-    budgets.follow_hosts(100)
-    budgets.follow_hosts(1)
-    taken = sum(budgets.take('desk') for _ in range(50))
+    budgets.update_hosts(100)
+    budgets.update_hosts(1)
+    taken = sum(budgets.try_spend('desk') for _ in range(50))
     assert taken <= 100 / 100
 
 
-def test_subjects_are_kept_in_one_region_of_all_that_may_serve_them():
+def test_prefix_is_cached_in_one_region_of_all_that_may_serve_it():
     """Two regions are asked for the same 40 subjects by a free route.
 
     Read in both they cost twice the reading and the memory. Hosts of both
@@ -566,8 +568,8 @@
         for scene in (north, south):
             scene.add(f'n-{number}', data_centre='n-1')
             scene.add(f's-{number}', data_centre='s-1')
-    north.hear(0.0, count=3)
-    south.hear(0.0, count=3, region='north')
+    north.receive_report(0.0, count=3)
+    south.receive_report(0.0, count=3, region='north')
     stays = 0
     for number in range(40):
         asked = [prompt(scene, f'subject-{number}') for scene in (north, south)]
@@ -577,18 +579,18 @@
     assert 8 < stays < 32
 
 
-def test_bound_subject_stays_at_home():
+def test_region_bound_prompt_stays_in_its_home_region():
     scene = Scene()
     scene.add('n-0', data_centre='n-1')
     scene.add('s-0', data_centre='s-1')
-    scene.hear(0.0)
+    scene.receive_report(0.0)
     for number in range(20):
         request = prompt(scene, f'subject-{number}')
         request.route.home_regions = frozenset({'north'})
         assert isinstance(scene.choose(request), SendTo)
 
 
-def test_large_free_prompt_leaves_room_for_bound_work():
+def test_large_unbound_prompt_leaves_capacity_for_bound_requests():
     """Home has 0.25 s of reading, in time for all; the other region is idle.
 
     Drafts that may go anywhere fill home, and questions that may not find no
@@ -596,9 +598,9 @@
     """
     scene = Scene()
     scene.add('i-1').own = Load(4, 15000, 15000)
-    scene.hear(0.0)
+    scene.receive_report(0.0)
     free = scene.request(tokens=12000)
-    assert isinstance(scene.choose(free), PassTo)
+    assert isinstance(scene.choose(free), RelayTo)
     bound = scene.request(tokens=12000, home_regions=frozenset({'north'}))
     assert isinstance(scene.choose(bound), SendTo)
     small = scene.request(tokens=400)
--- a/tests/gateway/test_rebirth.py
+++ b/tests/gateway/test_rebirth.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize('later', [BORN + 9000, BORN - 9000])
-def test_target_that_starts_again_is_known_for_nothing(later):
+def test_restarted_target_begins_with_fresh_state(later):
     """An engine crashes and starts again as the same instance.
 
     It holds nothing of before: believed to be loaded it would stand idle,
@@ -38,9 +38,9 @@
     first.own = Load(3, 50000, 50000)
     first.failing_share = 0.8
     first.ejected_until = now + 4
-    first.note_success(5.0, 0.1)
-    first.kept.note(['/a', '/a/b'])
-    scene.targets.take_report(
+    first.record_success(5.0, 0.1)
+    first.cached_prefixes.record_use(['/a', '/a/b'])
+    scene.targets.update_loads(
         'b', {first.record.life: Load(2, 9000, 9000)}, now
     )
     again = scene.add('i-1', born_ms=later, cold_seconds=2.0)
@@ -50,14 +50,14 @@
     assert again.ejected_until <= now
     facts = RequestFacts('id', 'api')
     facts.parts = scene.parts('a', 'b')
-    assert first.kept.tokens(facts.chain, 500000) == 2000
-    assert again.kept.tokens(facts.chain, 500000) == 0
+    assert first.cached_prefixes.cached_tokens(facts.chain, 500000) == 2000
+    assert again.cached_prefixes.cached_tokens(facts.chain, 500000) == 0
     assert again.cold_until > now
-    assert again.place != first.place
-    assert scene.targets.forget_gone() == [first]
+    assert again.connection_key != first.connection_key
+    assert scene.targets.drop_expired() == [first]
 
 
-def test_requests_at_the_earlier_life_don_t_weigh_on_the_next():
+def test_load_of_the_previous_incarnation_does_not_count():
     """A request is out at an engine as it starts again, and ends after that."""
     scene = Scene()
     first = scene.add('i-1', born_ms=BORN)
@@ -75,13 +75,13 @@
     """
     scene = Scene()
     first = scene.add('i-1', born_ms=BORN, cold_seconds=3.0)
-    scene.pace.note_sent(first, scene.clock.monotonic())
+    scene.pace.record_sent(first, scene.clock.monotonic())
     assert first.paced_at == scene.clock.monotonic()
     again = scene.add('i-1', born_ms=BORN + 1, cold_seconds=3.0)
     assert again.paced_at == first.paced_at
 
 
-def test_late_report_of_the_earlier_life_changes_nothing():
+def test_late_report_of_the_previous_incarnation_is_ignored():
     """Another host was cut off as the engine started again.
 
     Its heartbeats still speak of the life before.
@@ -91,18 +91,18 @@
     earlier = first.record.life
     again = scene.add('i-1', born_ms=BORN + 1)
     now = scene.clock.monotonic()
-    scene.targets.take_report('b', {earlier: Load(9, 90000, 90000)}, now)
+    scene.targets.update_loads('b', {earlier: Load(9, 90000, 90000)}, now)
     assert again.load(now).requests == 0
 
 
-def test_same_start_twice_is_the_same_life():
+def test_same_start_twice_is_the_same_incarnation():
     scene = Scene()
     first = scene.add('i-1', born_ms=BORN)
     assert scene.add('i-1', born_ms=BORN) is first
     assert scene.add('i-1', born_ms=None) is first
 
 
-def test_twice_in_a_row_and_a_late_record_of_the_first_life():
+def test_two_restarts_and_a_late_record_of_the_first_incarnation():
     """A target starts again twice; a neighbour's list still has the first."""
     made, _ = catalogue()
 
@@ -122,7 +122,7 @@
     assert scene.targets.all() == []
 
 
-def test_heartbeat_names_the_life_and_bears_fields_it_does_not_know():
+def test_heartbeat_names_the_incarnation_and_tolerates_unknown_fields():
     """Hosts of two versions run beside each other while one is rolled out."""
     scene = Scene()
     target = scene.add('i-1', born_ms=BORN)
--- a/tools/ablations/decisions.py
+++ b/tools/ablations/decisions.py
@@ -10,29 +10,29 @@
         [
             (
                 'placement/usable.py',
-                '        if not target.pushback.rest.allows(now):',
+                '        if not target.pushback.backoff.allows(now):',
                 '        if False:',
             ),
             (
                 'placement/pushback.py',
-                '        if now < self.rest.until:',
+                '        if now < self.backoff.until:',
                 '        if False:',
             ),
         ],
         GATEWAY
-        + 'test_target_rest.py::test_target_that_asked_for_a_rest_gets_none_of_its_host',
+        + 'test_target_rest.py::test_host_sends_nothing_during_a_backoff',
     ),
     Ablation(
         'gateway: one request at a time tries a target after its rest',
         [
             (
-                'placement/rest.py',
-                '        return not self._is_on_trial or now >= self._tried_at + TRIAL_SECONDS',
+                'placement/backoff.py',
+                '        return not self._is_probing or now >= self._probed_at + PROBE_SECONDS',
                 '        return True',
             ),
         ],
         GATEWAY
-        + 'test_target_rest.py::test_one_request_tries_a_target_after_its_rest',
+        + 'test_target_rest.py::test_one_request_probes_a_target_after_its_backoff',
     ),
     Ablation(
         'gateway: a target that said it leaves gets nothing new',
@@ -44,19 +44,19 @@
             ),
         ],
         GATEWAY
-        + 'test_leaving_in_answers.py::test_target_that_said_it_leaves_gets_no_more_while_the_store_is_away',
+        + 'test_leaving_in_answers.py::test_leaving_target_gets_no_requests_while_the_store_is_down',
     ),
     Ablation(
         'gateway: what a life said outlives its record',
         [
             (
                 'placement/targets.py',
-                '            self._kept_pushback.keep(target.record.life, target.pushback)',
+                '            self._retained.add(target.record.life, target.pushback)',
                 '',
             ),
         ],
         GATEWAY
-        + 'test_leaving_in_answers.py::test_word_outlives_a_record_that_lapses_but_not_the_life',
+        + 'test_leaving_in_answers.py::test_leaving_outlives_a_lapsed_record_but_not_the_incarnation',
     ),
     Ablation(
         'gateway: a target that named a limit gets no more',
@@ -75,7 +75,7 @@
         [
             (
                 'placement/limit_shares.py',
-                '        return granted / limit.holders if place < limit.holders else 0.0',
+                '        return granted / limit.holders if rank < limit.holders else 0.0',
                 '        return granted',
             ),
         ],
@@ -87,8 +87,8 @@
         [
             (
                 'placement/request_limit.py',
-                '        return self.turn + int((now - self.named_at) / turn_seconds)',
-                '        return self.turn',
+                '        return self.rotation + int((now - self.reported_at) / rotation_seconds)',
+                '        return self.rotation',
             ),
         ],
         GATEWAY
@@ -147,8 +147,8 @@
         [
             (
                 'placement/limits.py',
-                'KEEPERS = 2',
-                'KEEPERS = 0',
+                'PREFERRED_TARGETS = 2',
+                'PREFERRED_TARGETS = 0',
             ),
         ],
         GATEWAY + 'test_placement.py::test_peak_of_a_region_with_many_hosts',
@@ -162,8 +162,7 @@
                 'COPY_AT_LEAST_TOKENS = 10**9',
             ),
         ],
-        GATEWAY
-        + 'test_placement.py::test_busy_keeper_of_a_subject_is_copied_from',
+        GATEWAY + 'test_placement.py::test_prefix_is_copied_from_a_busy_target',
     ),
     Ablation(
         'gateway: few share a leading part',
@@ -175,14 +174,14 @@
             ),
         ],
         GATEWAY
-        + 'test_placement.py::test_leading_part_that_few_share_keeps_prompts_together',
+        + 'test_placement.py::test_rare_leading_segment_keeps_prompts_together',
     ),
     Ablation(
         'gateway: a target that starts again is known for nothing',
         [
             (
                 'placement/targets.py',
-                'target is None or _is_other_life(target, record)',
+                'target is None or _is_other_incarnation(target, record)',
                 'target is None',
             ),
         ],
@@ -193,8 +192,8 @@
         [
             (
                 'placement/targets.py',
-                'for life, load in loads.items():\n            target = self._by_life.get(life)',
-                "for life, load in loads.items():\n            target = self._by_life.get(f'{life.split(chr(47))[0]}/1790000000000')",
+                'for life, load in loads.items():\n            target = self._by_incarnation.get(life)',
+                "for life, load in loads.items():\n            target = self._by_incarnation.get(f'{life.split(chr(47))[0]}/1790000000000')",
             ),
         ],
         GATEWAY + 'test_rebirth.py',
@@ -203,9 +202,9 @@
         'gateway: engines are learned from their answers',
         [
             (
-                'placement/law.py',
-                '        self._solve(now)\n\n    def note_hold',
-                '        self._own = list(terms)\n\n    def note_hold',
+                'placement/latency_model.py',
+                '        self._refit(now)\n\n    def record_slot_hold',
+                '        self._own = list(terms)\n\n    def record_slot_hold',
             ),
         ],
         GATEWAY + 'test_law.py',
@@ -214,7 +213,7 @@
         'gateway: newer prompts push kept parts out',
         [
             (
-                'placement/kept.py',
+                'placement/prefix_cache.py',
                 'if used_at is None or used_at < oldest:',
                 'if used_at is None:',
             ),
@@ -226,8 +225,8 @@
         [
             (
                 'placement/regions.py',
-                'return law.reading_seconds(self._work(request, kept_tokens))',
-                'return self._read_seconds(request, kept_tokens)',
+                'return model.prefill_seconds(self._token_cost(request, prefix_tokens))',
+                'return self._first_event_seconds(request, prefix_tokens)',
             ),
         ],
         GATEWAY + 'test_placement.py',
@@ -237,7 +236,7 @@
         [
             (
                 'placement/choice.py',
-                '        if keeping is not None:\n',
+                '        if preferred is not None:\n',
                 '        if False:\n',
             ),
         ],
@@ -248,7 +247,7 @@
         [
             (
                 'placement/choice.py',
-                'if self._leaves_room(request, best, remote)',
+                'if self._should_relay(request, best, remote)',
                 'if False',
             ),
         ],
--- a/tools/ablations/fleet.py
+++ b/tools/ablations/fleet.py
@@ -67,7 +67,7 @@
         [
             (
                 'placement/targets.py',
-                'is_followed = self._totals_from.get(reporter) == maker',
+                'is_followed = self._totals_makers.get(reporter) == maker',
                 'is_followed = True',
             ),
         ],
@@ -101,7 +101,7 @@
         [
             (
                 'placement/choice.py',
-                'self._random.uniform(0, spread_seconds)',
+                'self._random.uniform(0, jitter_seconds)',
                 'self._random.uniform(0, 0.004)',
             ),
         ],
@@ -112,8 +112,8 @@
         [
             (
                 'placement/estimates.py',
-                'kind = (kept, target.record.data_centre)',
-                "kind = (kept, '')",
+                'kind = (cached, target.record.data_centre)',
+                "kind = (cached, '')",
             ),
         ],
         CHOICE,
