--- a/jacinthfold/placement/__init__.py
+++ b/jacinthfold/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Decide where requests run, without input or output."""
+"""Decide where requests run; no module here does input or output."""
--- a/jacinthfold/placement/affinity.py
+++ b/jacinthfold/placement/affinity.py
@@ -1,8 +1,8 @@
-"""Order targets for a prompt by what they are likely to have read of it.
+"""Rank targets for a prompt by a hash of its shared prefix.
 
-Targets keep what they read. Ordered by a hash of a shared part, all hosts
-send the requests that share it to the same targets without asking each other,
-and what one host's lagging reports say of the idlest target moves nothing.
+Targets cache the prompts that they prefill. With the same ranking on every
+host, requests that share a prefix go to the same targets without coordination,
+and late load reports don't move them to the target that looks idlest.
 """
 
 from collections import Counter, deque
@@ -14,7 +14,7 @@
 
 
 class _RecentSegments:
-    """Hold the leading parts of a route's latest prompts."""
+    """Count the leading segments of a route's latest prompts."""
 
     __slots__ = ('_counts', '_names')
 
@@ -23,7 +23,7 @@
         self._counts: Counter[str] = Counter()
 
     def record(self, name: str) -> float:
-        """Count a prompt; return the share of prompts that begin alike."""
+        """Count a prompt; return the share with the same leading segment."""
         self._names.append(name)
         self._counts[name] += 1
         if len(self._names) > limits.LEADING_SEGMENTS_COUNTED:
@@ -34,32 +34,32 @@
         return self._counts[name] / len(self._names)
 
     def has_enough_samples(self) -> bool:
-        """Tell whether enough prompts were seen to go by shares."""
+        """Tell whether enough prompts were counted to rely on the shares."""
         return len(self._names) >= limits.LEADING_SEGMENTS_COUNTED // 4
 
 
 class Affinity:
-    """Order targets, the same on every host."""
+    """Select the prefix by which prompts are assigned to targets."""
 
     __slots__ = ('_recent',)
 
     def __init__(self) -> None:
-        """Start without any prompt seen."""
+        """Start without counted prompts."""
         self._recent: dict[str, _RecentSegments] = {}
 
     def shared_segments(
         self, route_name: str, parts: tuple[PromptPart, ...], targets: int
     ) -> tuple[PromptPart, ...]:
-        """Return the leading parts by which requests are kept together."""
-        # The last part belongs to the request alone.
+        """Return the leading segments by which requests are kept together."""
+        # The last segment belongs to the request alone.
         shared = parts[:-1]
         if len(shared) < 2:
             return shared
         recent = self._recent.setdefault(route_name, _RecentSegments())
         share = recent.record(shared[0].name)
-        # Kept together by a leading part that many prompts share, one target
-        # would get most of them; by one that few share, what follows it is
-        # kept together as well.
+        # By a leading segment that many prompts share, one target would get
+        # most of them; by one that few share, the segments after it stay
+        # together as well.
         if (
             recent.has_enough_samples()
             and share * targets < limits.LEADING_SHARE
@@ -71,6 +71,6 @@
 def rank_instances(
     shared: Iterable[PromptPart], instances: Iterable[str]
 ) -> list[str]:
-    """Return instances, the one that is to keep the shared parts first."""
+    """Return instances, the preferred one for the shared prefix first."""
     last = tuple(shared)[-1]
     return rank(last.name, instances)
--- a/jacinthfold/placement/backoff.py
+++ b/jacinthfold/placement/backoff.py
@@ -1,14 +1,14 @@
-"""Leave a target alone for as long as it asks for, then try it with care."""
+"""Send no requests to a target during its backoff, then probe it."""
 
 from jacinthfold import logs
 
-# After a rest one request at a time is sent to a target, and another one after
-# this long where none was answered, until it takes them again.
+# After a backoff one request probes the target, and another one after this time
+# if the first was not answered, until the target accepts requests again.
 PROBE_SECONDS = 1.0
 
 
 class Backoff:
-    """Hold whether a target may be used after it turned requests away."""
+    """Hold whether a target may be used after it rejected requests."""
 
     __slots__ = (
         '_instance',
@@ -19,11 +19,11 @@
     )
 
     def __init__(self, instance: str) -> None:
-        """Start with a target that takes requests."""
+        """Start with a target that accepts requests."""
         self._instance = instance
-        # When it last asked for one.
+        # When the target last requested a backoff.
         self.requested_at = float('-inf')
-        # Until when it wants nothing from this host.
+        # Until when this host may send it nothing.
         self.until = float('-inf')
         self._is_probing = False
         self._probed_at = float('-inf')
@@ -35,11 +35,11 @@
         return not self._is_probing or now >= self._probed_at + PROBE_SECONDS
 
     def record_sent(self, now: float) -> None:
-        """Take that a request was sent."""
+        """Count a request that is sent, as a probe where one is due."""
         self._probed_at = now
 
     def record_rejected(self, seconds: float, now: float) -> None:
-        """Take that the target turned a request away and wants nothing."""
+        """Start or extend a backoff after the target rejected a request."""
         if now >= self.until:
             logs.event('target_rests', target=self._instance, seconds=seconds)
         self.requested_at = now
@@ -48,9 +48,9 @@
         self._probed_at = float('-inf')
 
     def record_accepted(self, sent_at: float) -> None:
-        """Take that the target took a request that was sent at a time."""
-        # Answers to requests that it took before it asked for the rest come
-        # during the rest.
+        """End the probing after the target accepted a request."""
+        # Answers to requests from before the backoff don't count: they arrive
+        # during it.
         if self._is_probing and sent_at >= self.until:
             self._is_probing = False
             logs.event('target_rested', target=self._instance)
--- a/jacinthfold/placement/budget.py
+++ b/jacinthfold/placement/budget.py
@@ -1,47 +1,47 @@
-"""Bound how often requests are sent more than once.
+"""Limit the retries of requests by a budget for all hosts together.
 
-The bound holds for all hosts together. Each host may use a share of its own
-requests, which adds up by itself, and a fixed part of the slack.
+Each host may retry a ratio of its own requests, which adds up over the hosts
+without coordination, and has a fixed part of the slack.
 """
 
 from collections import deque
 
 from jacinthfold.clock import Clock
 
-# Kept back of what is allowed: windows slide, and requests that this host
-# counts now may fall out of a window that began a moment ago.
+# Fraction of the budget that is used: windows slide, and requests that count
+# now may fall out of a window that began a moment ago.
 SAFETY_FACTOR = 0.75
-# Hosts that the slack is split among when fewer are known: a deployment can
-# grow by its spare hosts without notice.
+# The slack is split among at least this many hosts, and among this factor more
+# than are known: a deployment can grow by its spare hosts without notice.
 MIN_HOSTS = 14
 HOST_GROWTH_FACTOR = 1.25
 
 
 class RetryBudget:
-    """Hold one service's requests and repeats in a sliding window."""
+    """Hold one service's requests and retries in a sliding window."""
 
     __slots__ = ('_clock', '_retries', '_requests', '_window_seconds')
 
     def __init__(self, window_seconds: float, clock: Clock) -> None:
-        """Take the length of the window."""
+        """Start with an empty window of a given length."""
         self._window_seconds = window_seconds
         self._clock = clock
         self._requests: deque[float] = deque()
         self._retries: deque[float] = deque()
 
     def record_request(self) -> None:
-        """Count a request's first send."""
+        """Count the first attempt of a request."""
         self._requests.append(self._clock.monotonic())
 
     def try_spend(self, ratio: float, slack: float) -> bool:
-        """Count a repeat if the window has room for it."""
+        """Count a retry if the window allows it; tell whether it does."""
         if not self.can_spend(ratio, slack):
             return False
         self._retries.append(self._clock.monotonic())
         return True
 
     def can_spend(self, ratio: float, slack: float) -> bool:
-        """Tell whether the window has room for a repeat."""
+        """Tell whether the window allows a retry."""
         now = self._clock.monotonic()
         _drop_before(self._requests, now - self._window_seconds)
         _drop_before(self._retries, now - self._window_seconds)
@@ -50,7 +50,7 @@
 
 
 class RetryBudgets:
-    """Hold the budgets of all services."""
+    """Hold the retry budgets of all services."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         window_seconds: float,
         clock: Clock,
     ) -> None:
-        """Take what all hosts together may repeat."""
+        """Set the budget of all hosts together."""
         self._ratio = ratio
         self._slack = slack
         self._window_seconds = window_seconds
@@ -68,20 +68,20 @@
         self._host_count = 0
 
     def update_hosts(self, count: int) -> None:
-        """Take how many hosts are known; the most ever known counts."""
-        # Hosts that are cut off go on spending their part.
+        """Update the number of known hosts; the highest one ever counts."""
+        # Disconnected hosts continue to spend their part.
         self._host_count = max(self._host_count, count)
 
     def record_request(self, service: str) -> None:
-        """Count a request's first send."""
+        """Count the first attempt of a request."""
         self._of(service).record_request()
 
     def try_spend(self, service: str) -> bool:
-        """Count a repeat if there is room for it."""
+        """Count a retry if the budget allows it; tell whether it does."""
         return self._of(service).try_spend(self._ratio, self._own_slack())
 
     def can_spend(self, service: str) -> bool:
-        """Tell whether a repeat would be allowed now."""
+        """Tell whether the budget allows a retry now."""
         return self._of(service).can_spend(self._ratio, self._own_slack())
 
     def _own_slack(self) -> float:
--- a/jacinthfold/placement/choice.py
+++ b/jacinthfold/placement/choice.py
@@ -19,17 +19,17 @@
 from jacinthfold.placement.usable import UsableTargets
 from jacinthfold.request.messages import Request
 
-# Returns are spread over this time, so that callers that were refused
-# together don't come back together.
+# Added at random to the retry time, so that callers that were rejected
+# together don't retry together.
 RETRY_SPREAD_SECONDS = 0.8
 MIN_RETRY_AFTER_SECONDS = 0.1
-# Plain calls are short: one that is late by a few aims is still worth more
-# served than sent away.
+# Calls to plain services are short: a call is accepted if it is expected within
+# this many latency objectives, since a late answer is worth more than none.
 PLAIN_LATE_FACTOR = 4
 
 
 class Placer:
-    """Choose for requests of one region."""
+    """Choose the target or region for the requests of one region."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         clock: Clock,
         source: random.Random,
     ) -> None:
-        """Take what is known of targets here and of other regions."""
+        """Use the state of local targets and of other regions."""
         self._region = region
         self._targets = targets
         self._pace = pace
@@ -62,7 +62,7 @@
         tried: Collection[str] = (),
         tried_regions: Collection[str] = (),
     ) -> Choice:
-        """Return where a request is to run."""
+        """Return the target or region for a request, or a rejection."""
         best = self._best_local(request, tried)
         is_repeat = bool(tried or tried_regions)
         allowed = self._latency_budget_seconds(request, is_repeat=is_repeat)
@@ -79,7 +79,7 @@
         return self._choose_when_late(request, best, remote)
 
     def record_sent(self, choice: SendTo, request: Request) -> None:
-        """Take that a request leaves for a target."""
+        """Count a request that is sent to a target."""
         target = choice.estimate.target
         now = self._clock.monotonic()
         self._jitter.record_sent(request.service_name, now)
@@ -92,7 +92,7 @@
             uses.record_use(target.record.life, shared[-1].name, now)
 
     def room(self, service: str, *, is_urgent: bool) -> float | None:
-        """Return the least wait for a service here, None with no target."""
+        """Return the shortest local wait in seconds, None without targets."""
         now = self._clock.monotonic()
         waits = [
             self._estimator.wait_seconds(target, now, is_urgent=is_urgent)
@@ -120,8 +120,8 @@
             estimate = self._estimator.estimate_with_copy(
                 request, target, now, copy_sources
             )
-            # Most requests stay with their parts' target: the other targets
-            # are estimated for the rest alone.
+            # Most requests stay with the preferred target of their prefix, so
+            # that the other targets are estimated only for the remaining ones.
             if (
                 position < limits.PREFERRED_TARGETS
                 and self._stays_with_preferred(request, estimate, now)
@@ -137,15 +137,15 @@
         best: Estimate,
         remote: RemoteRegion | None,
     ) -> bool:
-        """Tell whether a request had better leave this region's targets."""
-        # Large prompts that any region may serve fill the targets that those
-        # bound to this one need, as long as they are in time here themselves.
+        """Tell whether to relay a request although it is in time here."""
+        # Otherwise large prompts that any region may serve would fill the
+        # targets that requests bound to this region need.
         if remote is None or remote.seconds >= best.seconds:
             return False
         if best.wait_seconds <= limits.OFFLOAD_WAIT_SECONDS:
             return False
-        # Plain services turn calls away long before they are late: their
-        # queues are short, and what another region could serve is lost.
+        # Targets of plain services reject calls long before these are late,
+        # since their queues are short; another region could serve them.
         if not self._targets.service(request.service_name).is_engine:
             return True
         if request.is_bound:
@@ -159,7 +159,7 @@
     def _preferred_remote(
         self, request: Request, best: Estimate | None
     ) -> RemoteRegion | None:
-        """Return the region whose target keeps the shared parts, if any."""
+        """Return the region whose target caches the shared prefix, if any."""
         shared = request.facts.shared_chain
         if request.is_relayed or not shared:
             return None
@@ -173,7 +173,7 @@
         if not preferred or preferred[0] == self._region:
             return None
         found = self._regions.estimate_cached(preferred[0], request, tokens)
-        limit = request.route.aim_seconds * limits.PREFERRED_AIM_SHARE
+        limit = request.route.aim_seconds * limits.PREFERRED_OBJECTIVE_SHARE
         if found is None or found.seconds > limit - (now - request.received_at):
             return None
         return found
@@ -181,7 +181,7 @@
     def _by_affinity(
         self, request: Request, usable: list[Target]
     ) -> list[Target]:
-        """Return targets, the shared parts' own one first."""
+        """Return targets, the preferred one of the shared prefix first."""
         shared = self._affinity.shared_segments(
             request.route.name, request.facts.parts, len(usable)
         )
@@ -193,18 +193,18 @@
     def _stays_with_preferred(
         self, request: Request, estimate: Estimate, now: float
     ) -> bool:
-        """Tell whether a request stays with the target of its shared parts."""
+        """Tell whether a request stays with a preferred target."""
         is_failing = (
             estimate.target.failing_share > limits.PREFERRED_FAILING_SHARE
         )
         if is_failing or not request.facts.parts:
             return False
         elapsed = now - request.received_at
-        aim = request.route.aim_seconds
+        objective_seconds = request.route.aim_seconds
         slowness = max(1.0, estimate.target.slowness)
         return (
             estimate.seconds * slowness
-            < aim * limits.PREFERRED_AIM_SHARE - elapsed
+            < objective_seconds * limits.PREFERRED_OBJECTIVE_SHARE - elapsed
         )
 
     def _jitter_seconds(
@@ -225,8 +225,7 @@
 
     def _cost(self, estimate: Estimate, jitter_seconds: float) -> float:
         target = estimate.target
-        # A target that fails part of its requests is worth less than one
-        # that is merely late: most failures can't be made good.
+        # Failures weigh more than delay: most can't be made up for by a retry.
         risk = target.failing_share**2
         jitter = self._random.uniform(0, jitter_seconds)
         return estimate.seconds * max(1.0, target.slowness) + risk + jitter
@@ -236,11 +235,11 @@
     ) -> float:
         now = self._clock.monotonic()
         if is_repeat:
-            # A stream that is cut after its aim has passed is still owed its
-            # end: held to the aim, it would be given up half delivered.
+            # A stream that breaks after its latency objective has passed is
+            # still resumed until its deadline: it has been delivered in part.
             return request.deadline - now
         elapsed = now - request.received_at
-        return request.route.aim_seconds * limits.AIM_SHARE - elapsed
+        return request.route.aim_seconds * limits.OBJECTIVE_SHARE - elapsed
 
     def _best_remote(
         self, request: Request, tried_regions: Collection[str]
@@ -261,8 +260,8 @@
         least = min(waits)
         if self._is_accepted_late(request, least):
             return self._soonest(request, best, remote)
-        half_aim = request.route.aim_seconds / 2
-        after_seconds = self._retry_after_seconds(least - half_aim)
+        half_objective = request.route.aim_seconds / 2
+        after_seconds = self._retry_after_seconds(least - half_objective)
         return Reject('late', after_seconds, best, remote)
 
     def _reject_without_target(self, request: Request) -> Reject:
@@ -275,17 +274,17 @@
         return rejection
 
     def _is_accepted_late(self, request: Request, seconds: float) -> bool:
-        """Tell whether a request is served although it will be late."""
-        aim = request.route.aim_seconds
+        """Tell whether to serve a request that will miss its objective."""
+        objective_seconds = request.route.aim_seconds
         if not self._targets.service(request.service_name).is_engine:
-            return seconds < aim * PLAIN_LATE_FACTOR
-        # A large prompt takes most of its aim by itself: however empty the
-        # targets, it is late, and refusing it would starve it.
+            return seconds < objective_seconds * PLAIN_LATE_FACTOR
+        # A large prompt needs most of its latency objective for its own
+        # prefill: it is late on idle targets too, and would starve if rejected.
         model = self._estimator.latency_model(request.service_name)
         token_cost = model.token_cost(request.facts.prompt_tokens, 0)
         prefill_seconds = model.prefill_seconds(token_cost)
-        is_large = prefill_seconds > aim / 2
-        return is_large and seconds - prefill_seconds < aim / 2
+        is_large = prefill_seconds > objective_seconds / 2
+        return is_large and seconds - prefill_seconds < objective_seconds / 2
 
     def _soonest(
         self,
@@ -296,8 +295,8 @@
         if best is None and remote is not None:
             return RelayTo(remote)
         if best is not None and remote is not None:
-            is_here = best.seconds <= remote.seconds
-            return SendTo(best) if is_here else RelayTo(remote)
+            is_local = best.seconds <= remote.seconds
+            return SendTo(best) if is_local else RelayTo(remote)
         if best is not None:
             return SendTo(best)
         return self._reject_without_target(request)
--- a/jacinthfold/placement/decision.py
+++ b/jacinthfold/placement/decision.py
@@ -1,31 +1,31 @@
-"""Say what was decided for a request, and by which expectations."""
+"""Hold the outcome of a placement: send, relay or reject."""
 
 from jacinthfold.placement.estimates import Estimate
 from jacinthfold.placement.regions import RemoteRegion
 
 
 class SendTo:
-    """Say that a target here is to run the request."""
+    """Send the request to a target of this region."""
 
     __slots__ = ('estimate',)
 
     def __init__(self, estimate: Estimate) -> None:
-        """Take the estimate that decided."""
+        """Set the estimate of the chosen target."""
         self.estimate = estimate
 
 
 class RelayTo:
-    """Say that another region is to run the request."""
+    """Relay the request to another region."""
 
     __slots__ = ('region',)
 
     def __init__(self, region: RemoteRegion) -> None:
-        """Take the region and what was believed of it."""
+        """Set the region and its estimate."""
         self.region = region
 
 
 class Reject:
-    """Say that the request can't be served in time."""
+    """Reject the request, since it can't be served in time."""
 
     __slots__ = ('after_seconds', 'remote_region', 'local_estimate', 'reason')
 
@@ -36,7 +36,7 @@
         local_estimate: Estimate | None = None,
         remote_region: RemoteRegion | None = None,
     ) -> None:
-        """Take why, when a return may meet room, and what was expected."""
+        """Set the reason, the retry time and the estimates behind them."""
         self.reason = reason
         self.after_seconds = after_seconds
         self.local_estimate = local_estimate
--- a/jacinthfold/placement/estimates.py
+++ b/jacinthfold/placement/estimates.py
@@ -1,4 +1,4 @@
-"""Estimate when a target would begin to answer a request."""
+"""Estimate the time to the first event of a request at a target."""
 
 from collections.abc import Iterable
 
@@ -11,7 +11,7 @@
 
 
 class Estimate:
-    """Hold when a target's first event is expected, and why."""
+    """Hold the expected time to a target's first event, and its parts."""
 
     __slots__ = (
         'tokens_ahead',
@@ -30,7 +30,7 @@
     def __init__(
         self, target: Target, wait: 'Wait', own_seconds: float
     ) -> None:
-        """Take the wait for others and the request's own time."""
+        """Add the wait for other requests and the request's own time."""
         self.target = target
         self.tokens_ahead = wait.tokens_ahead
         self.running_seconds = wait.running_seconds
@@ -38,22 +38,23 @@
         self.seconds = wait.seconds + own_seconds
         self.cached_tokens = 0
         self.tokens_to_prefill = 0
-        # The own reading, in tokens of a short prompt, and in million pairs.
+        # The request's own prefill: its cost in tokens of a short prompt, and
+        # its attention pairs in millions.
         self.token_cost = 0.0
         self.pairs = 0.0
-        # Whether the request is part of what the target's limit grants.
+        # Whether the request was counted against the target's limit.
         self.is_counted = False
-        # Another target from which this one is to copy the shared parts.
+        # Another target from which this one copies the shared prefix.
         self.copy_source: Target | None = None
 
     @property
     def copy_source_name(self) -> str:
-        """Return the instance that is copied from, nothing without one."""
+        """Return the instance that is copied from, empty without one."""
         return self.copy_source.record.instance if self.copy_source else ''
 
 
 class Wait:
-    """Hold what a request waits for at a target."""
+    """Hold how long a request waits for others at a target."""
 
     __slots__ = ('tokens_ahead', 'running_seconds', 'seconds')
 
@@ -63,40 +64,40 @@
         tokens_ahead: float = 0.0,
         running_seconds: float = 0.0,
     ) -> None:
-        """Take the whole time, and the reading and the batch within it."""
+        """Set the whole wait, and its prefill tokens and batch time."""
         self.seconds = seconds
         self.tokens_ahead = tokens_ahead
         self.running_seconds = running_seconds
 
 
 class CopySource:
-    """Hold a target that shared parts may be copied from."""
+    """Hold a target that a shared prefix may be copied from."""
 
     __slots__ = ('prefix_tokens', 'target')
 
     def __init__(self, target: Target, prefix_tokens: int) -> None:
-        """Take the target and how many leading tokens it keeps."""
+        """Set the target and how many leading tokens it caches."""
         self.target = target
         self.prefix_tokens = prefix_tokens
 
 
 class Estimator:
-    """Estimate for the targets that are known."""
+    """Estimate the time to the first event at known targets."""
 
     __slots__ = ('_targets',)
 
     def __init__(self, targets: TargetTable) -> None:
-        """Take the targets."""
+        """Use the state of the targets."""
         self._targets = targets
 
     def latency_model(self, service: str) -> LatencyModel:
-        """Return what was learned of a service's engines."""
+        """Return the latency model of a service's engines."""
         return self._targets.latency_models.of(service)
 
     def estimate(
         self, request: Request, target: Target, now: float
     ) -> Estimate:
-        """Return when a target's first event is expected."""
+        """Return the estimate of a target without copies."""
         service = self._targets.service(request.service_name)
         wait = self.wait(target, now, is_urgent=request.is_urgent)
         if not service.is_engine:
@@ -109,11 +110,11 @@
     def copy_sources(
         self, request: Request, targets: Iterable[Target]
     ) -> list['CopySource']:
-        """Return targets to copy shared parts from, the fewest that matter."""
-        # How long a copy takes depends on what is kept and on the data centre
-        # alone, and who keeps as much needs no copy: of those that are alike
-        # one is enough. With 23 engines a choice took 529 comparisons, and
-        # takes 92 at most this way.
+        """Return targets to copy a shared prefix from, without equal ones."""
+        # The time of a copy depends only on the cached tokens and the data
+        # centre, and a target that caches as many needs no copy, so one of each
+        # kind is enough. With 23 engines this takes 92 comparisons at most
+        # where all pairs take 529.
         service = self._targets.service(request.service_name)
         shared = request.facts.shared_chain
         if service.copy_seconds_per_token is None or not shared:
@@ -126,9 +127,9 @@
             cached = target.cached_prefixes.cached_tokens(
                 shared, service.memory_tokens
             )
-            kind = (cached, target.record.data_centre)
-            if cached >= limits.COPY_AT_LEAST_TOKENS and kind not in seen:
-                seen.add(kind)
+            key = (cached, target.record.data_centre)
+            if cached >= limits.COPY_AT_LEAST_TOKENS and key not in seen:
+                seen.add(key)
                 found.append(CopySource(target, cached))
         return found
 
@@ -139,12 +140,14 @@
         now: float,
         copy_sources: Iterable['CopySource'],
     ) -> Estimate:
-        """Return the estimate of a target that may copy shared parts."""
-        plain = self.estimate(request, target, now)
+        """Return the estimate of a target, with a copy where it is faster."""
+        without_copy = self.estimate(request, target, now)
         service = self._targets.service(request.service_name)
-        best = plain
+        best = without_copy
         for copy_source in copy_sources:
-            copied = self._estimate_copy(request, plain, copy_source, service)
+            copied = self._estimate_copy(
+                request, without_copy, copy_source, service
+            )
             if copied is not None and copied.seconds < best.seconds:
                 best = copied
         return best
@@ -152,11 +155,11 @@
     def wait_seconds(
         self, target: Target, now: float, *, is_urgent: bool
     ) -> float:
-        """Return how long a request waits for others at a target."""
+        """Return the wait for other requests at a target, in seconds."""
         return self.wait(target, now, is_urgent=is_urgent).seconds
 
     def wait(self, target: Target, now: float, *, is_urgent: bool) -> Wait:
-        """Return what a request waits for at a target."""
+        """Return the wait for other requests at a target, and its parts."""
         service = self._targets.service(target.record.service)
         load = target.load(now)
         slots = max(1, target.record.slots)
@@ -192,24 +195,26 @@
     def _estimate_copy(
         self,
         request: Request,
-        plain: Estimate,
+        without_copy: Estimate,
         copy_source: 'CopySource',
         service: Service,
     ) -> Estimate | None:
-        if copy_source.target is plain.target:
+        if copy_source.target is without_copy.target:
             return None
-        copied = copy_source.prefix_tokens - plain.cached_tokens
+        copied = copy_source.prefix_tokens - without_copy.cached_tokens
         if copied < limits.COPY_AT_LEAST_TOKENS:
             return None
         wait = Wait(
-            plain.wait_seconds, plain.tokens_ahead, plain.running_seconds
+            without_copy.wait_seconds,
+            without_copy.tokens_ahead,
+            without_copy.running_seconds,
         )
         found = self._estimate_prefill(
-            request, plain.target, wait, copy_source.prefix_tokens
+            request, without_copy.target, wait, copy_source.prefix_tokens
         )
         seconds = copied * (service.copy_seconds_per_token or 0.0)
-        home = copy_source.target.record.data_centre
-        if home != plain.target.record.data_centre:
+        source_data_centre = copy_source.target.record.data_centre
+        if source_data_centre != without_copy.target.record.data_centre:
             seconds *= limits.COPY_ACROSS_FACTOR
         found.seconds += limits.COPY_SECONDS + seconds
         found.copy_source = copy_source.target
--- a/jacinthfold/placement/jitter.py
+++ b/jacinthfold/placement/jitter.py
@@ -1,28 +1,28 @@
-"""Spread the choices of hosts that hear the same late news.
+"""Add jitter to the choices of hosts that share the same stale load data.
 
 Load pattern: 40 hosts send 200 calls a second to four targets of a plain
-service, each with six slots and 24 places to wait. All hear at the same moment
-which one is the idlest, and until the next digest all choose it: its queue
-fills and it turns calls away while the others stand idle. What the neighbours
-send meanwhile is not known, but how much it is can be estimated, and a choice
-that is blurred by as much sends an equal share to targets whose difference
-means nothing. Calls turned away in a replay of 1,200: 112 and 148 without it,
+service, each with six slots and a queue of 24. All receive the same load data
+at the same moment, and until the next digest all would choose the idlest
+target: its queue fills and it rejects calls while the others are idle. The load
+that other hosts add meanwhile is unknown, but its amount can be estimated, and
+jitter of that size spreads requests evenly over targets whose difference is
+insignificant. Calls rejected in a replay of 1,200: 112 and 148 without jitter,
 0 and 2 with it (two seeds).
 """
 
 import math
 
-# How old the loads are that hosts go by: half a heartbeat, half a digest and
-# what is lost of either now and then.
+# Average age of load data: half a heartbeat interval, half a digest interval
+# and the occasional loss of either.
 LOAD_DATA_AGE_SECONDS = 0.3
-# Over how long the own sends are averaged.
+# Time constant of the average of this host's sends.
 RATE_WINDOW_SECONDS = 3.0
-# Estimates that are closer than this say nothing.
+# Smaller differences between estimates are insignificant.
 MIN_JITTER_SECONDS = 0.004
 
 
 class _DecayingRate:
-    """Hold a decaying count of sends."""
+    """Hold an exponentially decaying count of sends."""
 
     __slots__ = ('_at', '_weight')
 
@@ -43,25 +43,25 @@
 
 
 class LoadJitter:
-    """Estimate what the hosts nearby send to the same targets unheard."""
+    """Size the jitter by the unreported load of the region's other hosts."""
 
     __slots__ = ('_rates',)
 
     def __init__(self) -> None:
-        """Start without any send."""
+        """Start without sends."""
         self._rates: dict[str, _DecayingRate] = {}
 
     def record_sent(self, service: str, now: float) -> None:
-        """Take that this host sent a request to a service's targets."""
+        """Count a request that this host sent to a service's targets."""
         self._rates.setdefault(service, _DecayingRate(now)).record(now)
 
     def jitter_seconds(
         self, service: str, busy_seconds: float, hosts: int, now: float
     ) -> float:
-        """Return by how much waits may differ from what is believed.
+        """Return by how many seconds waits may differ from the estimates.
 
-        Hosts of the region are taken to send as much as this one; the busy
-        time is that of one request at one of the targets, shared by them all.
+        The region's hosts are assumed to send as much as this one. The busy
+        time is that of one request at one target, divided by the targets.
         """
         rate = self._rates.get(service)
         if rate is None:
--- a/jacinthfold/placement/limit_reports.py
+++ b/jacinthfold/placement/limit_reports.py
@@ -1,16 +1,16 @@
-"""Tell other hosts of targets' limits, and take what they tell."""
+"""Exchange reports of targets' rate limits between hosts."""
 
 from collections.abc import Mapping
 
 from jacinthfold.placement.request_limit import LimitReport
 from jacinthfold.placement.targets import TargetTable
 
-# More turns than a limit can have had.
+# A higher number of rotations is invalid.
 MAX_ROTATIONS = 1_000_000
 
 
 def own_reports(targets: TargetTable, now: float) -> dict[str, LimitReport]:
-    """Return what this host heard of limits, by the life of a target."""
+    """Return this host's first-hand limit reports by incarnation."""
     reports = {}
     for target in targets.all():
         report = target.pushback.limit.own_report(now)
@@ -25,7 +25,7 @@
     reports: Mapping[str, LimitReport],
     sent_at: float,
 ) -> None:
-    """Take what another host heard of limits, by the life of a target."""
+    """Apply another host's valid limit reports, by incarnation."""
     for incarnation_id, report in reports.items():
         target = targets.find_incarnation(incarnation_id)
         if target is not None and _is_valid(report):
--- a/jacinthfold/placement/limit_shares.py
+++ b/jacinthfold/placement/limit_shares.py
@@ -1,9 +1,9 @@
-"""Share a target's limit among the hosts of its region.
+"""Share a target's rate limit among the hosts of its region.
 
-A target names how many requests a second it takes from all hosts together,
-often fewer than there are hosts. Split evenly, 65 hosts would grant one
-request in 50 s each, and a host that has no caller at that moment wastes it.
-So as few hosts as can each use a whole part of the limit hold it, by rank, and
+A target sets a limit for all hosts together, often with fewer requests per
+second than there are hosts. Split evenly, 65 hosts would grant one request in
+50 s each, and hosts without a caller at that moment would waste theirs. So the
+limit is held by the first hosts in rank, as few as get a usable share each, and
 the others send nothing to that target.
 """
 
@@ -14,33 +14,33 @@
 from jacinthfold.placement.request_limit import RequestLimit
 from jacinthfold.placement.target import Target
 
-# Share of a limit that is granted: hosts may disagree for a moment on who
-# holds which part.
+# Fraction of a limit that is granted: hosts may disagree briefly on which of
+# them hold it.
 GRANTED_FRACTION = 0.9
-# The least part that one host holds, where the limit is not smaller itself.
+# Smallest share of one host, unless the limit itself is smaller.
 MIN_SHARE_PER_SECOND = 1.0
-# Requests that a host may save up, and seconds of its part beside them.
+# Capacity of a host's token bucket: requests, plus seconds of its share.
 BURST_REQUESTS = 2.0
 BURST_SECONDS = 0.25
-# Of what is saved, left for urgent requests.
+# Requests in the bucket that are reserved for urgent ones.
 URGENT_RESERVE_REQUESTS = 1.0
 
 
 class LimitShares:
-    """Grant this host's part of what targets take."""
+    """Grant requests from this host's shares of targets' limits."""
 
     __slots__ = ('_ranks',)
 
     def __init__(self, own_name: str, clock: Clock) -> None:
-        """Take the own name; other hosts are heard of later."""
+        """Start with the own name; other hosts become known later."""
         self._ranks = RegionRanks(own_name, clock)
 
     def update_hosts(self, names: Iterable[str]) -> None:
-        """Take the names of the region's hosts that take requests."""
+        """Replace the names of the region's hosts that accept requests."""
         self._ranks.update_hosts(names)
 
     def allows(self, target: Target, now: float, *, is_urgent: bool) -> bool:
-        """Tell whether a target's limit has room for a request now."""
+        """Tell whether a target's limit allows a request now."""
         limit = target.pushback.limit
         if limit.per_second is None:
             return True
@@ -49,7 +49,7 @@
         return limit.bucket_requests >= 1 + reserved
 
     def record_sent(self, target: Target, now: float) -> bool:
-        """Take one request from a limit; tell whether there is one."""
+        """Spend one request of a limit; return False without a limit."""
         limit = target.pushback.limit
         if limit.per_second is None:
             return False
@@ -58,14 +58,14 @@
         return True
 
     def mean_per_second(self, limits: Iterable[RequestLimit]) -> float:
-        """Return what one host may send by some limits, on average."""
+        """Return the average requests per second that limits allow a host."""
         granted = sum(limit.per_second or 0.0 for limit in limits)
         return granted * GRANTED_FRACTION / self._ranks.host_count
 
     def _refill(self, limit: RequestLimit, instance: str, now: float) -> None:
         share = self._share_per_second(limit, instance, now)
-        # A host that has just come to hold a part starts with nothing saved:
-        # what the one before had saved may be on its way.
+        # A new holder starts with an empty bucket: the requests of the previous
+        # holder's bucket may still be in transit.
         gained = min(limit.share_per_second, share) * (now - limit.refilled_at)
         capacity = BURST_REQUESTS + BURST_SECONDS * share
         refilled = limit.bucket_requests + gained
--- a/jacinthfold/placement/pace.py
+++ b/jacinthfold/placement/pace.py
@@ -1,8 +1,8 @@
-"""Pace requests to cold targets over all hosts of a region.
+"""Limit the request rate to cold targets over all hosts of a region.
 
-A cold target crashes when it gets much more than it tolerates, comes back
-cold and crashes again. Only the sum over all hosts counts, and they hear of
-each other's requests too late, so one host alone sends to a cold target.
+A cold target crashes when it gets much more than it tolerates, restarts cold
+and crashes again. The sum over all hosts counts, and their reports of requests
+arrive too late, so only one host sends to a cold target.
 """
 
 from collections.abc import Iterable
@@ -12,15 +12,15 @@
 from jacinthfold.placement.ranks import RegionRanks
 from jacinthfold.placement.target import Target
 
-# A host sends nothing to cold engines for so long after its start: until the
-# first heartbeats have come it knows few of those that start beside it, and of
-# 24 hosts ten took the same engine for their own.
+# A host sends nothing to cold engines for this time after its start. Before the
+# first heartbeats it knows few of the hosts that start together with it: of 24
+# hosts ten ranked first for the same engine.
 QUIET_SECONDS = 0.6
-# Of the usual pace, until every host that started beside it has been heard.
-# Hosts that start one after another each know those before them, and one in k
-# of them is first among k: of 24 hosts four take the same engine for their own,
-# and at a third of the pace each sends one request in a second, where an engine
-# stands seven.
+# Share of the usual rate until all hosts that started together are known. Hosts
+# that start one after another each know those before them, and one in k of them
+# ranks first among k: of 24 hosts four rank first for the same engine. At a
+# third of the rate each sends one request per second, and an engine tolerates
+# seven.
 UNSETTLED_SHARE = 1 / 3
 _SECOND = 1.0
 
@@ -31,17 +31,17 @@
     __slots__ = ('_quiet_until', 'ranks')
 
     def __init__(self, own_name: str, clock: Clock) -> None:
-        """Take the own name; other hosts are heard of later."""
+        """Start with the own name; other hosts become known later."""
         self.ranks = RegionRanks(own_name, clock)
         self._quiet_until = clock.monotonic() + QUIET_SECONDS
 
     @property
     def host_count(self) -> int:
-        """Return how many hosts the region has."""
+        """Return the number of hosts in the region."""
         return self.ranks.host_count
 
     def update_hosts(self, names: Iterable[str]) -> None:
-        """Take the names of all hosts of the region, this one included."""
+        """Replace the names of the region's hosts; the own one is implied."""
         self.ranks.update_hosts(names)
 
     def allows(self, target: Target, per_second: float, now: float) -> bool:
@@ -53,7 +53,7 @@
         return self.ranks.position(target.record.instance) == 0
 
     def record_sent(self, target: Target, now: float) -> None:
-        """Take that a request was sent to a cold target."""
+        """Record the time of a request to a cold target."""
         target.paced_at = now
 
     def _pause_seconds(self, per_second: float, now: float) -> float:
--- a/jacinthfold/placement/preferred_regions.py
+++ b/jacinthfold/placement/preferred_regions.py
@@ -1,10 +1,10 @@
-"""Keep a subject's prompts together over all regions that may serve them.
+"""Keep prompts with a shared prefix in one of the regions that may serve them.
 
-Load pattern: 36 subjects of 13,000 tokens, asked for everywhere by a route that
-any region may serve. Read in each region they cost three times the reading and
-memory; an engine that is reading slows every answer that it is making. Worth of
-three loaded days, three seeds each: 0.631 with a keeper in each region, 0.642
-with one over all of them.
+Load pattern: 36 shared prefixes of 13,000 tokens, requested everywhere by a
+route that any region may serve. Cached in each region they cost three times the
+prefill and memory, and a prefill slows all answers that the engine is
+generating. Score of three loaded days, three seeds each: 0.631 with a preferred
+target in each region, 0.642 with one over all regions.
 """
 
 from jacinthfold.placement.affinity import rank_instances
@@ -14,16 +14,16 @@
 
 
 class PreferredRegions:
-    """Order regions for a prompt, the same on every host."""
+    """Rank regions for a prompt, the same on every host."""
 
     __slots__ = ('_targets',)
 
     def __init__(self, targets: TargetTable) -> None:
-        """Take the targets of all regions."""
+        """Use the targets of all regions."""
         self._targets = targets
 
     def ranked(self, request: Request, now: float) -> list[str]:
-        """Return allowed regions, the one that is to keep the parts first."""
+        """Return allowed regions, the preferred one for the prefix first."""
         shared = request.facts.parts[:-1]
         by_instance = {
             target.record.instance: self._targets.region_of(
--- a/jacinthfold/placement/prefix_cache.py
+++ b/jacinthfold/placement/prefix_cache.py
@@ -1,10 +1,10 @@
-"""Believe which parts of prompts a target keeps.
+"""Model which prompt prefixes a target has cached.
 
-Load pattern: 36 subjects of 13,000 tokens, each asked for every few seconds
-at any host. A target keeps what it read until newer prompts have filled its
-memory. A part that is believed to be kept and is not costs a quarter of a
-second that no estimate has foreseen; one that is kept and not believed is read
-again elsewhere.
+Load pattern: 36 shared prefixes of 13,000 tokens, each requested every few
+seconds at any host. A target caches what it prefilled until newer prompts have
+filled its memory. A prefix that is wrongly assumed to be cached costs a quarter
+of a second that no estimate foresees; one that is wrongly assumed to be evicted
+is prefilled again at another target.
 """
 
 from collections import OrderedDict
@@ -12,23 +12,23 @@
 
 from jacinthfold.request.messages import ChainLink
 
-# Share of a target's memory that may fill up with newer prompts before a part
-# counts as dropped: the rest is held by running requests, which come first.
+# Share of a target's memory that newer prompts may fill before a prefix counts
+# as evicted: the remainder is used by running requests, which have precedence.
 CACHE_SHARE = 0.7
-# Names remembered for each target.
+# Prefixes remembered for each target.
 MAX_PREFIXES = 2000
-# How long a use is told: a heartbeat may be lost, three or more have it.
+# How long a use is reported: at least three heartbeats, since some get lost.
 USE_REPORT_SECONDS = 1.3
 
 
 class CachedPrefixes:
-    """Hold what a target read, in the order of its latest use."""
+    """Hold the prefixes that a target prefilled, the latest used last."""
 
     __slots__ = ('_counters', '_uses', 'prefilled_tokens')
 
     def __init__(self) -> None:
-        """Start with an empty target."""
-        # Tokens that the target has read for all hosts that are heard.
+        """Start with an empty cache."""
+        # Tokens that the target has prefilled for all known hosts.
         self.prefilled_tokens = 0.0
         self._uses: OrderedDict[str, float] = OrderedDict()
         self._counters: dict[str, float] = {}
@@ -36,7 +36,7 @@
     def cached_tokens(
         self, chain: Iterable[ChainLink], memory_tokens: int
     ) -> int:
-        """Return how many leading tokens of a prompt are probably kept."""
+        """Return how many leading tokens of a prompt are probably cached."""
         tokens = 0
         oldest = self.prefilled_tokens - memory_tokens * CACHE_SHARE
         for link in chain:
@@ -47,7 +47,7 @@
         return tokens
 
     def record_use(self, names: Iterable[str]) -> None:
-        """Take that prompts up to the ends of these parts were used."""
+        """Mark prefixes as used now."""
         for name in names:
             self._uses[name] = self.prefilled_tokens
             self._uses.move_to_end(name)
@@ -55,18 +55,18 @@
             self._uses.popitem(last=False)
 
     def add_prefilled(self, tokens: float) -> None:
-        """Take that this host sent a prompt of so many unread tokens."""
+        """Add the tokens to prefill of a prompt that this host sent."""
         self.prefilled_tokens += tokens
 
     def start_counter(self, host: str, prefilled_tokens: float) -> None:
-        """Take what a counter says from which on it is followed."""
+        """Set the start value of a host's counter of prefilled tokens."""
         self._counters[host] = prefilled_tokens
 
     def update_counter(self, host: str, prefilled_tokens: float) -> None:
-        """Take how much the target has read for another host in all."""
+        """Add the growth of a host's counter of prefilled tokens."""
         before = self._counters.get(host, 0.0)
         self._counters[host] = prefilled_tokens
-        # A host that started again counts from nothing.
+        # A restarted host counts from 0 again.
         grown = (
             prefilled_tokens - before
             if prefilled_tokens >= before
@@ -76,28 +76,28 @@
 
 
 class RecentPrefixUses:
-    """Hold what this host lately sent where, for the other hosts to hear."""
+    """Hold recently sent prefixes by target, to report to other hosts."""
 
     __slots__ = ('_uses',)
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without uses."""
         self._uses: OrderedDict[tuple[str, str], float] = OrderedDict()
 
     def record_use(self, incarnation_id: str, name: str, now: float) -> None:
-        """Take that a prompt with a long shared part was sent to a target."""
+        """Record that a prompt with a long shared prefix was sent."""
         self._uses[incarnation_id, name] = now
         self._uses.move_to_end((incarnation_id, name))
 
     def record_reported(
         self, incarnation_id: str, name: str, now: float
     ) -> None:
-        """Take a use that a host tells of more than once."""
+        """Record a use that a host reports, which may be a repetition."""
         if (incarnation_id, name) not in self._uses:
             self._uses[incarnation_id, name] = now
 
     def by_incarnation(self, now: float) -> dict[str, list[str]]:
-        """Return the names of parts by the life that was sent them."""
+        """Return the names of recent prefixes by incarnation."""
         while self._uses:
             first = next(iter(self._uses))
             if now - self._uses[first] < USE_REPORT_SECONDS:
--- a/jacinthfold/placement/pushback.py
+++ b/jacinthfold/placement/pushback.py
@@ -1,4 +1,4 @@
-"""Hold what a target asks of this host in its answers."""
+"""Hold the pushback in a target's answers: leaving, rate limit and backoff."""
 
 from copy import copy
 from http import HTTPStatus
@@ -8,12 +8,12 @@
 from jacinthfold.placement.request_limit import RequestLimit
 from jacinthfold.request.messages import AnswerHead
 
-# Lives whose records are gone; the oldest are dropped first.
+# Incarnations without records; the oldest are dropped first.
 MAX_RETAINED = 4096
 
 
 class Pushback:
-    """Hold what one life of a target asks for."""
+    """Hold the pushback of one incarnation of a target."""
 
     __slots__ = (
         '_instance',
@@ -24,11 +24,11 @@
     )
 
     def __init__(self, instance: str) -> None:
-        """Start with a target that asks for nothing."""
+        """Start without pushback."""
         self._instance = instance
-        # Headers that could not be read, logged once each.
+        # Names of malformed headers, logged once each.
         self._unreadable: set[str] = set()
-        # When an answer first said that the target will end.
+        # When an answer first announced that the target leaves.
         self.leaving_since: float | None = None
         self.limit = RequestLimit(instance)
         self.backoff = Backoff(instance)
@@ -36,7 +36,7 @@
     def record_answer(
         self, head: AnswerHead, sent_at: float, now: float
     ) -> None:
-        """Take the head of an answer to a request that was sent at a time."""
+        """Apply the head of an answer to a request sent at a given time."""
         if head.status == HTTPStatus.MISDIRECTED_REQUEST:
             # Another target has the address now.
             return
@@ -49,17 +49,17 @@
             self.backoff.record_rejected(facts.rest_seconds, now)
         elif head.status != HTTPStatus.SERVICE_UNAVAILABLE:
             self.backoff.record_accepted(sent_at)
-        # What fails may come from a process that no longer says what it needs.
+        # A failing process may omit the header of a limit that still holds.
         is_failure = head.status >= HTTPStatus.BAD_REQUEST
         if facts.limit_per_second is not None or not is_failure:
             self.limit.record_answer(facts.limit_per_second, sent_at, now)
 
     def for_next_incarnation(self, started_at: float) -> 'Pushback':
-        """Return what the next life asks for, which began at a time."""
-        # Its record may come later than its first answers, and what they
-        # asked for was noted here. Leaving is not taken over: a late answer of
-        # this life would take the next one away for good, while rests and
-        # limits end.
+        """Return the initial pushback of the next incarnation."""
+        # The first answers of an incarnation may arrive before its record, so
+        # that their pushback was recorded here. The announcement of leaving is
+        # not inherited: unlike backoffs and limits it never ends, and a late
+        # answer of this incarnation would disable the next one.
         successor = Pushback(self._instance)
         if self.backoff.requested_at >= started_at:
             successor.backoff = copy(self.backoff)
@@ -68,7 +68,7 @@
         return successor
 
     def rejection_reason(self, now: float, *, is_counted: bool) -> str:
-        """Return why a request may not be sent now, nothing if it may."""
+        """Return why a request may not be sent now, empty if it may."""
         if now < self.backoff.until:
             return 'target_rests'
         if self.limit.per_second is not None and not is_counted:
@@ -87,25 +87,25 @@
 
 
 class RetainedPushback:
-    """Keep what lives of targets asked for after their records are gone."""
+    """Hold the pushback of incarnations whose records are gone."""
 
-    # Records lapse while the store is away, and come back with it: the life
-    # has gone on, and what it asked for holds.
+    # Records lapse while the store is unreachable and return with it: the
+    # incarnation has kept running, and its pushback still holds.
 
     __slots__ = ('_by_incarnation',)
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start empty."""
         self._by_incarnation: dict[str, Pushback] = {}
 
     def add(self, incarnation_id: str, pushback: Pushback) -> None:
-        """Take what a life whose record is gone asked for."""
+        """Store the pushback of an incarnation whose record is gone."""
         self._by_incarnation[incarnation_id] = pushback
         if len(self._by_incarnation) > MAX_RETAINED:
             self._by_incarnation.pop(next(iter(self._by_incarnation)))
 
     def restore(self, incarnation_id: str, instance: str) -> Pushback:
-        """Return what a life asked for, nothing for a new one."""
+        """Return and remove an incarnation's pushback, or a new one."""
         return self._by_incarnation.pop(incarnation_id, None) or Pushback(
             instance
         )
--- a/jacinthfold/placement/regions.py
+++ b/jacinthfold/placement/regions.py
@@ -1,4 +1,4 @@
-"""Know what room other regions have, from their hosts' heartbeats."""
+"""Estimate the spare capacity of other regions from their heartbeats."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -7,13 +7,13 @@
 from jacinthfold.placement.latency_model import LatencyModels
 from jacinthfold.request.messages import Request
 
-# Own requests on their way to a region count until its next heartbeats have
-# taken them in: two heartbeats and the trip.
+# Requests relayed to a region count here until its next heartbeats include
+# them: two heartbeats and the trip.
 IN_TRANSIT_SECONDS = 0.8
 
 
 class RemoteRegion:
-    """Hold a region that could serve a request, and when."""
+    """Hold a region that could serve a request, and its estimate."""
 
     __slots__ = ('hosts', 'prefix_tokens', 'name', 'seconds')
 
@@ -24,16 +24,16 @@
         hosts: tuple[str, ...],
         prefix_tokens: int = 0,
     ) -> None:
-        """Take the expected time to the first event and the live hosts."""
+        """Set the expected seconds to the first event and the live hosts."""
         self.name = name
         self.seconds = seconds
         self.hosts = hosts
-        # What is believed to be kept there of the prompt.
+        # Leading tokens of the prompt that are probably cached there.
         self.prefix_tokens = prefix_tokens
 
 
 class RegionReport:
-    """Hold what one host says of its region's room."""
+    """Hold what one host reports of its region's spare capacity."""
 
     __slots__ = ('received_at', 'region', 'target_counts', 'waits')
 
@@ -44,7 +44,7 @@
         waits: Mapping[str, tuple[float, float]],
         target_counts: Mapping[str, int],
     ) -> None:
-        """Take waits in seconds, of ordinary and of urgent requests."""
+        """Set the waits in seconds of ordinary and of urgent requests."""
         self.region = region
         self.received_at = received_at
         self.waits = dict(waits)
@@ -52,7 +52,7 @@
 
 
 class RegionView:
-    """Hold the newest reports of other regions' hosts."""
+    """Hold the latest reports of other regions' hosts."""
 
     def __init__(self, own_region: str, clock: Clock) -> None:
         """Start without reports."""
@@ -63,12 +63,12 @@
         self._in_transit: list[tuple[float, str, str, float]] = []
 
     def update(self, host: str, report: RegionReport) -> None:
-        """Take a host's report."""
+        """Replace a host's report."""
         if report.region != self._own_region:
             self._reports[host] = report
 
     def record_relayed(self, request: Request, region: RemoteRegion) -> None:
-        """Take that a request was passed to a region."""
+        """Count a request that was relayed to a region."""
         entry = (
             self._clock.monotonic() + IN_TRANSIT_SECONDS,
             region.name,
@@ -80,7 +80,7 @@
     def estimate_cached(
         self, region: str, request: Request, prefix_tokens: int
     ) -> RemoteRegion | None:
-        """Return a region that keeps a part of a prompt, and when it serves."""
+        """Return a region that caches a prefix, with its estimate."""
         hosts = self._live_hosts().get(region)
         if not hosts:
             return None
@@ -89,7 +89,7 @@
     def best(
         self, request: Request, tried_regions: Collection[str]
     ) -> RemoteRegion | None:
-        """Return the allowed region that serves soonest."""
+        """Return the allowed region with the earliest first event."""
         found = [
             self._remote(request, name, hosts)
             for name, hosts in self._live_hosts().items()
@@ -102,11 +102,11 @@
         )
 
     def _live_hosts(self) -> dict[str, list[str]]:
-        """Return hosts that reported lately, by region."""
+        """Return the hosts with recent reports, by region."""
         now = self._clock.monotonic()
         self._in_transit = [one for one in self._in_transit if one[0] > now]
-        # Each host hears a few of another region's at a time, and in the end
-        # of all of them: those that fell silent are not looked at again.
+        # A host receives reports of a few hosts of another region at a time,
+        # and of all of them over time: old reports are dropped.
         self._reports = {
             host: report
             for host, report in self._reports.items()
@@ -147,11 +147,12 @@
         return RemoteRegion(name, seconds, tuple(serving), prefix_tokens)
 
     def _blocking_seconds(self, request: Request, prefix_tokens: int) -> float:
-        """Return how long a request holds up those behind it."""
-        # The reading alone does. With the time to a first event, which all
-        # requests spend beside each other, forty questions on their way
-        # looked like a second of work, and a region with room like a full one:
-        # worth of four loaded days 0.646 with it, 0.683 without (three seeds).
+        """Return how long a request delays those behind it."""
+        # Only its prefill does. The base time to a first event passes in
+        # parallel for all requests; counted here, forty small requests in
+        # transit looked like a second of load, and a region with spare capacity
+        # like a full one. Score of four loaded days: 0.646 with the base time,
+        # 0.683 without it (three seeds).
         if not request.facts.prompt_tokens:
             return limits.CALL_SECONDS / limits.REMOTE_CONCURRENT_CALLS
         model = self.latency_models.of(request.service_name)
--- a/jacinthfold/placement/request_limit.py
+++ b/jacinthfold/placement/request_limit.py
@@ -1,22 +1,23 @@
-"""Hold how many requests a target takes from all hosts together."""
+"""Hold a target's request rate limit, which counts for all hosts together."""
 
 from jacinthfold import logs
 
-# Requests a second (0 where a limit has ended), its age in milliseconds, and
-# how often its holders were changed.
+# Requests per second (0 where a limit has ended), the report's age in
+# milliseconds, and how often the hosts that hold the limit were rotated.
 LimitReport = tuple[float, int, int]
-# When nobody heard of a target for as long, or for as long as its holders need
-# to send some requests, the next hosts in rank hold its limit.
+# Without news of the limit for this time, or for the time in which its holders
+# may send this many requests, the next hosts in rank hold the limit.
 ROTATION_SECONDS = 4.0
 ROTATION_REQUESTS = 4.0
-# Bounds the time of one turn.
+# Lowest rate that is assumed, to bound the time of one rotation.
 MIN_PER_SECOND = 0.05
-# Heartbeats come several times a second, and some get lost.
+# How long the end of a limit is reported: heartbeats come several times a
+# second, and some get lost.
 ENDED_REPORT_SECONDS = 5.0
 
 
 class RequestLimit:
-    """Hold the newest word on one target's limit."""
+    """Hold the latest report of one target's limit."""
 
     __slots__ = (
         '_instance',
@@ -33,36 +34,37 @@
     def __init__(self, instance: str) -> None:
         """Start without a limit."""
         self._instance = instance
-        # Requests a second, None while the target names no limit.
+        # Requests per second, None while the target sets no limit.
         self.per_second: float | None = None
-        # When the newest word on it was heard.
+        # When a host received the latest report from the target.
         self.reported_at = float('-inf')
-        # Whether this host heard it from the target itself.
+        # Whether this host received it from the target itself.
         self.is_first_hand = False
-        # How often the hosts that hold it were changed, for want of callers.
+        # How often the hosts that hold it were rotated for lack of news.
         self.rotation = 0
-        # How many hosts hold it, this host's part, and what it has saved up.
+        # How many hosts hold it, and this host's token bucket: its rate, the
+        # requests available in it and the time of its latest refill.
         self.holders = 1
         self.share_per_second = 0.0
         self.bucket_requests = 0.0
         self.refilled_at = 0.0
 
     def record_answer(
-        self, named_per_second: float | None, sent_at: float, now: float
+        self, limit_per_second: float | None, sent_at: float, now: float
     ) -> None:
-        """Take what an answer names; None where it names no limit."""
-        if named_per_second is not None:
+        """Apply the limit in an answer, None where it has none."""
+        if limit_per_second is not None:
             self.rotation = self.rotation_at(now)
-            self._update(named_per_second, now, 'answer')
+            self._update(limit_per_second, now, 'answer')
         elif self.per_second is not None and sent_at > self.reported_at:
-            # Answers may overtake each other: only one to a request that was
-            # sent after the limit was named shows that it has ended.
+            # Answers may overtake each other: only an answer to a request that
+            # was sent after the latest report shows that the limit has ended.
             self._update(None, now, 'answer')
 
     def rotation_at(self, now: float) -> int:
-        """Return how often its holders were changed by now."""
-        # The first ones may have no callers, and nobody else would ever learn
-        # that the limit has ended.
+        """Return how often the holders were rotated by now."""
+        # The first holders may have no callers; without rotation no host would
+        # learn that the limit has ended.
         if self.per_second is None:
             return self.rotation
         share = max(MIN_PER_SECOND, self.per_second / self.holders)
@@ -76,15 +78,15 @@
         rotation: int,
         source: str,
     ) -> None:
-        """Take what another host heard of the target, if it is newer."""
+        """Apply another host's report of the limit if it is newer."""
         if reported_at > self.reported_at:
             self._update(per_second, reported_at, source)
             self.rotation = rotation
 
     def own_report(self, now: float) -> LimitReport | None:
-        """Return what other hosts are told, None if nothing.
+        """Return the report to other hosts, None if there is none.
 
-        An ended limit is told as 0 for some seconds.
+        An ended limit is reported as 0 for some seconds.
         """
         age_seconds = now - self.reported_at
         is_over = self.per_second is None and age_seconds > ENDED_REPORT_SECONDS
--- a/jacinthfold/placement/retry_schedule.py
+++ b/jacinthfold/placement/retry_schedule.py
@@ -1,23 +1,23 @@
-"""Tell refused callers when to come back, one after another."""
+"""Assign retry times to rejected callers, one after another."""
 
 from jacinthfold.clock import Clock
 
-# Callers are not sent away for longer: limits end, and targets are added.
+# Longest retry time: limits may end, and targets may be added.
 MAX_RETRY_AFTER_SECONDS = 5.0
 
 
 class RetrySchedule:
-    """Spread returns over time at the pace at which they can be served."""
+    """Spread retries over time at the rate at which they can be served."""
 
     __slots__ = ('_clock', '_next_at')
 
     def __init__(self, clock: Clock) -> None:
-        """Start with no return agreed on."""
+        """Start without assigned retry times."""
         self._clock = clock
         self._next_at: dict[str, float] = {}
 
     def after_seconds(self, service: str, per_second: float) -> float:
-        """Return when the next caller of a service is to come back."""
+        """Return in how many seconds a service's next caller is to retry."""
         now = self._clock.monotonic()
         last_at = max(now, self._next_at.get(service, now))
         latest_at = now + MAX_RETRY_AFTER_SECONDS
--- a/jacinthfold/placement/target.py
+++ b/jacinthfold/placement/target.py
@@ -1,4 +1,4 @@
-"""Hold what is believed of one target."""
+"""Hold the state of one target, as this host knows it."""
 
 from collections.abc import Iterable
 
@@ -9,8 +9,8 @@
 from jacinthfold.placement.pushback import Pushback
 from jacinthfold.request.messages import ChainLink
 
-# Weight of the newest answer, and the seconds that are expected and taken
-# before the first one: three answers of an idle engine.
+# Weight of the newest answer in the moving averages, and their initial value:
+# three answers of an idle engine.
 SPEED_WEIGHT = 0.15
 SPEED_START_SECONDS = 0.2
 SLOWNESS_LIMIT = 8.0
@@ -18,7 +18,7 @@
 
 
 class Load:
-    """Hold requests, unread prompt tokens and memory in use."""
+    """Hold requests in flight, pending prefill tokens and memory in use."""
 
     __slots__ = (
         'held_tokens',
@@ -34,7 +34,7 @@
         held_tokens: int = 0,
         urgent_tokens: int = 0,
     ) -> None:
-        """Take the figures; urgent tokens are a part of the unread ones."""
+        """Set the figures; the pending tokens include the urgent ones."""
         self.requests = requests
         self.pending_prefill_tokens = pending_prefill_tokens
         self.held_tokens = held_tokens
@@ -49,12 +49,12 @@
 
 
 class Target:
-    """Hold one life of a target and what this host saw of it."""
+    """Hold one incarnation of a target and what this host observed of it."""
 
     __slots__ = (
         '_expected_seconds',
         '_record_expires_at',
-        '_taken_seconds',
+        '_actual_seconds',
         'cold_until',
         'ejected_until',
         'failing_share',
@@ -75,44 +75,43 @@
     def __init__(
         self, record: TargetRecord, pushback: Pushback | None = None
     ) -> None:
-        """Take what the target tells of itself, and what it asked for."""
+        """Start from a record and earlier pushback of the same incarnation."""
         self.record = record
         self.own = Load()
         self.own_prefilled_tokens = 0.0
         self.reported: dict[str, tuple[float, Load]] = {}
         self.cold_until = 0.0
-        # When this host last sent something here while the target was cold.
+        # When this host last sent a request while the target was cold.
         self.paced_at = float('-inf')
         self.ejected_until = 0.0
         self.unreachable_until = 0.0
-        # When any answer of the target last brought something here.
+        # When this host last received bytes of any answer of the target.
         self.last_received_at = float('-inf')
         self.failures = 0
         self.failing_share = 0.0
         self.seconds_per_call = limits.CALL_SECONDS
-        # None while its record stays; else until when it may be used if nothing
-        # else is left.
+        # None while its record stays; else the end of its use as a last resort.
         self._record_expires_at: float | None = None
         self.is_removed = False
         self.pushback = pushback or Pushback(record.instance)
         self.cached_prefixes = CachedPrefixes()
-        # Seconds that answers took and that were expected, the latest most.
-        self._taken_seconds = SPEED_START_SECONDS
+        # Moving averages of the actual and the expected time of answers.
+        self._actual_seconds = SPEED_START_SECONDS
         self._expected_seconds = SPEED_START_SECONDS
 
     @property
     def connection_key(self) -> tuple[str, int, str]:
-        """Return address, port and life, under which connections are kept."""
+        """Return address, port and incarnation: the key of its connections."""
         return (*self.record.address, self.record.life)
 
     @property
     def last_resort_until(self) -> float | None:
-        """Return until when it may be used if nothing else is left.
+        """Return until when it may be used as a last resort.
 
-        None while it stays, by its record and by its answers.
+        None while neither its record nor its answers say that it leaves.
         """
-        # A record that still says ready proves nothing against an answer: it
-        # can't change while the store is away.
+        # An answer overrides a record that still says ready, since records
+        # can't change while the store is unreachable.
         since = self.pushback.leaving_since
         if since is None:
             return self._record_expires_at
@@ -123,15 +122,15 @@
 
     @property
     def slowness(self) -> float:
-        """Return how much longer answers take than was expected."""
-        # A ratio of sums: in a mean of ratios a small prompt that waited
-        # unforeseen weighs as much as a large one, and drives work away from
-        # a target that reads large prompts at its usual pace.
-        ratio = self._taken_seconds / self._expected_seconds
+        """Return the ratio of the actual to the expected time of answers."""
+        # A ratio of averages: in an average of ratios a small prompt with an
+        # unforeseen wait weighs as much as a large one, and drives load away
+        # from a target that prefills large prompts at its usual speed.
+        ratio = self._actual_seconds / self._expected_seconds
         return min(SLOWNESS_LIMIT, max(1 / SLOWNESS_LIMIT, ratio))
 
     def load(self, now: float) -> Load:
-        """Return the load of this host and of all that reported lately."""
+        """Return the load of this host and of all recent reports."""
         total = Load()
         total.add(self.own)
         for received_at, load in self.reported.values():
@@ -142,33 +141,36 @@
     def record_sent(
         self, chain: Iterable[ChainLink], tokens_to_prefill: float
     ) -> None:
-        """Take that a prompt was sent, of which so much will be read."""
+        """Count a prompt that was sent, and its tokens to prefill."""
         self.own_prefilled_tokens += tokens_to_prefill
         self.cached_prefixes.add_prefilled(tokens_to_prefill)
         self.cached_prefixes.record_use(link.name for link in chain)
 
     def record_success(self, seconds: float, expected_seconds: float) -> None:
-        """Take how long an answer took against what was expected."""
+        """Count a served request, with its actual and expected time."""
         self.failures = 0
         self.failing_share *= 1 - FAILURE_WEIGHT
-        self._taken_seconds += SPEED_WEIGHT * (seconds - self._taken_seconds)
+        self._actual_seconds += SPEED_WEIGHT * (seconds - self._actual_seconds)
         self._expected_seconds += SPEED_WEIGHT * (
             expected_seconds - self._expected_seconds
         )
 
     def set_record_expiry(self, until: float | None) -> None:
-        """Take until when the record lets it be used; None while it stays."""
+        """Set until when its record allows its use; None while it stays."""
         self._record_expires_at = until
 
     def rejection_reason(self, now: float, *, is_counted: bool) -> str:
-        """Return why a request may not be sent now, nothing if it may."""
+        """Return why a request may not be sent now, empty if it may."""
         until = self.last_resort_until
         if until is not None and now > until + limits.LAST_SEND_SECONDS:
             return 'target_left'
         return self.pushback.rejection_reason(now, is_counted=is_counted)
 
     def record_failure(self, now: float, *, is_unreachable: bool) -> None:
-        """Take that the target failed a request."""
+        """Count a failed request; eject the target after several in a row.
+
+        An unreachable target is ejected at once.
+        """
         self.failures += 1
         self.failing_share += FAILURE_WEIGHT * (1 - self.failing_share)
         if is_unreachable or self.failures >= limits.FAILURES_TO_EJECT:
--- a/jacinthfold/placement/targets.py
+++ b/jacinthfold/placement/targets.py
@@ -1,4 +1,4 @@
-"""Hold what is believed of the targets of all regions."""
+"""Hold the state of the targets of all regions, as this host knows it."""
 
 from collections.abc import Iterable, Mapping
 
@@ -13,22 +13,24 @@
 
 
 class TargetTable:
-    """Keep the targets of all regions."""
+    """Index the targets of all regions."""
 
     def __init__(self, regions: Mapping[str, str], clock: Clock) -> None:
-        """Take the region of each data centre."""
+        """Use a mapping of data centres to regions."""
         self._regions = dict(regions)
         self._clock = clock
         self._targets: dict[str, Target] = {}
-        # The same by what is asked for at each choice and heartbeat, so that
-        # neither filters the targets of all regions.
+        # Indexes for the look-ups of each choice and heartbeat, so that neither
+        # filters the targets of all regions.
         self._by_incarnation: dict[str, Target] = {}
         self._by_service: dict[tuple[str, str], list[Target]] = {}
-        # Lives on which each host was last told to have a load.
+        # Incarnations in the latest load report of each host.
         self._reported: dict[str, frozenset[str]] = {}
-        # Who made the totals that are followed, by data centre.
-        self._totals_makers: dict[str, tuple[str, int]] = {}
-        # Earlier lives of targets that started again, until they are told.
+        # Collector and its start that the latest totals come from, by data
+        # centre.
+        self._totals_sources: dict[str, tuple[str, int]] = {}
+        # Earlier incarnations of restarted targets, until drop_expired returns
+        # them.
         self._superseded: list[Target] = []
         self._retained = RetainedPushback()
         self._services: Mapping[str, Service] = {}
@@ -37,20 +39,20 @@
         self.recent_uses = RecentPrefixUses()
 
     def update_services(self, services: Mapping[str, Service]) -> None:
-        """Take what the operator declared of services."""
+        """Replace the configuration of services."""
         self._services = services
 
     def service(self, name: str) -> Service:
-        """Return what was declared of a service."""
+        """Return the configuration of a service, the default if unknown."""
         return self._services.get(name) or Service(name)
 
     def find(self, instance: str) -> Target | None:
-        """Return a target by its instance."""
+        """Return the target of an instance."""
         return self._targets.get(instance)
 
-    def find_incarnation(self, life: str) -> Target | None:
-        """Return the target that lives a life."""
-        return self._by_incarnation.get(life)
+    def find_incarnation(self, incarnation_id: str) -> Target | None:
+        """Return the target with an incarnation."""
+        return self._by_incarnation.get(incarnation_id)
 
     def of(self, service: str, region: str) -> list[Target]:
         """Return a service's targets in a region."""
@@ -74,7 +76,7 @@
         return self._regions.get(data_centre, '')
 
     def put(self, record: TargetRecord) -> None:
-        """Take a target that came or changed."""
+        """Add a target or update its record."""
         now = self._clock.monotonic()
         target = self._targets.get(record.instance)
         if target is None or _is_other_incarnation(target, record):
@@ -89,11 +91,11 @@
         if record.is_draining and is_staying:
             self._record_leaving(target, now, record.remaining_seconds)
         if not record.is_draining:
-            # A record that lapsed with the store and came back.
+            # The record may have lapsed with the store and come back.
             target.set_record_expiry(None)
 
     def remove(self, instance: str) -> None:
-        """Take that a target's record is gone."""
+        """Mark a target whose record is gone as leaving."""
         target = self._targets.get(instance)
         if target is None:
             return
@@ -102,7 +104,7 @@
             self._record_leaving(target, self._clock.monotonic(), None)
 
     def evacuate(self, data_centre: str, *, is_evacuated: bool) -> None:
-        """Take that a data centre's targets get nothing, or may again."""
+        """Start or end the evacuation of a data centre's targets."""
         if is_evacuated:
             self.evacuated |= {data_centre}
             return
@@ -110,13 +112,16 @@
         now = self._clock.monotonic()
         for target in self._targets.values():
             if target.record.data_centre == data_centre:
-                # Targets that stood idle may be cold; their records say so
-                # only after the next heartbeat.
+                # Targets that were idle may be cold; their records say so only
+                # after the next heartbeat.
                 service = self.service(target.record.service)
                 self._extend_cold(target, service.cold_seconds, now)
 
     def drop_expired(self) -> list[Target]:
-        """Drop targets that may no longer be used; return them."""
+        """Drop removed targets that may no longer be used, and return them.
+
+        Earlier incarnations of restarted targets are returned too.
+        """
         now = self._clock.monotonic()
         gone = [
             target
@@ -141,37 +146,37 @@
         prefilled_tokens: Mapping[str, float],
         uses: Mapping[str, list[str]],
     ) -> None:
-        """Take what lives of targets have read for another host."""
-        for life, tokens in prefilled_tokens.items():
-            target = self._by_incarnation.get(life)
+        """Apply another host's prefill counters and recent prefix uses."""
+        for incarnation_id, tokens in prefilled_tokens.items():
+            target = self._by_incarnation.get(incarnation_id)
             if target is not None:
                 target.cached_prefixes.update_counter(reporter, tokens)
-        for life, names in uses.items():
-            target = self._by_incarnation.get(life)
+        for incarnation_id, names in uses.items():
+            target = self._by_incarnation.get(incarnation_id)
             if target is not None:
                 target.cached_prefixes.record_use(names)
 
     def update_prefill_totals(
         self,
         reporter: str,
-        maker: tuple[str, int],
+        source: tuple[str, int],
         prefilled_tokens: Mapping[str, float],
     ) -> None:
-        """Take what lives of targets have read for many hosts."""
-        # Each maker counts from its own start: between two of one the growth
-        # is true, from one's to another's it means nothing.
-        is_followed = self._totals_makers.get(reporter) == maker
-        self._totals_makers[reporter] = maker
-        if is_followed:
+        """Apply the prefill counters that a collector summed for many hosts."""
+        # Each collector counts from its own start, so only the difference
+        # between two totals of the same one is meaningful.
+        is_same_source = self._totals_sources.get(reporter) == source
+        self._totals_sources[reporter] = source
+        if is_same_source:
             self.update_cached_prefixes(reporter, prefilled_tokens, {})
             return
-        for life, target in self._by_incarnation.items():
+        for incarnation_id, target in self._by_incarnation.items():
             target.cached_prefixes.start_counter(
-                reporter, prefilled_tokens.get(life, 0.0)
+                reporter, prefilled_tokens.get(incarnation_id, 0.0)
             )
 
     def own_prefilled_tokens(self) -> dict[str, float]:
-        """Return what lives of targets have read for this host."""
+        """Return the tokens prefilled for this host, by incarnation."""
         return {
             target.record.life: round(target.own_prefilled_tokens)
             for target in self._targets.values()
@@ -181,33 +186,33 @@
     def update_loads(
         self, reporter: str, loads: Mapping[str, Load], now: float
     ) -> None:
-        """Take the loads that another host has put on lives of targets."""
-        known = self._reported.get(reporter, frozenset())
-        for life in known.difference(loads):
-            self._drop_report(life, reporter)
-        for life, load in loads.items():
-            target = self._by_incarnation.get(life)
+        """Replace another host's loads on targets, by incarnation."""
+        previous = self._reported.get(reporter, frozenset())
+        for incarnation_id in previous.difference(loads):
+            self._drop_report(incarnation_id, reporter)
+        for incarnation_id, load in loads.items():
+            target = self._by_incarnation.get(incarnation_id)
             if target is not None:
                 target.reported[reporter] = (now, load)
         self._reported[reporter] = frozenset(loads)
 
     def drop_reports(self, reporters: Iterable[str]) -> None:
-        """Drop what hosts reported, of which sums tell now."""
+        """Drop the reports of hosts that are now part of a collector's sums."""
         for reporter in reporters:
-            for life in self._reported.pop(reporter, frozenset()):
-                self._drop_report(life, reporter)
+            for incarnation_id in self._reported.pop(reporter, frozenset()):
+                self._drop_report(incarnation_id, reporter)
             self.latency_models.forget_host(reporter)
 
     def own_loads(self) -> dict[str, Load]:
-        """Return the loads that this host has put on lives of targets."""
+        """Return the loads of this host on targets, by incarnation."""
         return {
             target.record.life: target.own
             for target in self._targets.values()
             if target.own.requests
         }
 
-    def _drop_report(self, life: str, reporter: str) -> None:
-        target = self._by_incarnation.get(life)
+    def _drop_report(self, incarnation_id: str, reporter: str) -> None:
+        target = self._by_incarnation.get(incarnation_id)
         if target is not None:
             target.reported.pop(reporter, None)
 
@@ -228,8 +233,8 @@
             pushback = earlier.pushback.for_next_incarnation(started_at)
         target = Target(record, pushback)
         if earlier is not None:
-            # Nothing else of the earlier life holds. Its pace does: the bound
-            # on a cold target counts requests to the instance.
+            # Nothing else carries over. The rate limit of cold targets counts
+            # requests to the instance, across incarnations.
             target.paced_at = earlier.paced_at
             self._superseded.append(earlier)
         self._targets[record.instance] = target
@@ -269,13 +274,13 @@
 
 
 def _started_at(record: TargetRecord, clock: Clock) -> float:
-    """Return when a life began, by the monotonic clock."""
+    """Return the start of an incarnation on the monotonic clock."""
     born_seconds = (record.born_ms or 0) / 1000
     return clock.monotonic() - clock.now().timestamp() + born_seconds
 
 
 def _is_other_incarnation(target: Target, record: TargetRecord) -> bool:
-    # Any other start is another life, an earlier one too: the clock of a
-    # target may have gone back, and records come in the store's order.
+    # An earlier start counts too: the clock of a target may have gone back,
+    # and records arrive in the store's order.
     known = target.record.born_ms
     return None not in {known, record.born_ms} and known != record.born_ms
--- a/jacinthfold/placement/usable.py
+++ b/jacinthfold/placement/usable.py
@@ -1,4 +1,4 @@
-"""Say which targets of a region may be sent a request now, and why not."""
+"""Select the targets of a region that may be sent a request now."""
 
 from collections.abc import Collection
 
@@ -12,12 +12,13 @@
 from jacinthfold.placement.target import Target
 from jacinthfold.placement.targets import TargetTable
 
-# When no target is usable: cold ones take the next request after 0.3 s.
+# Retry time when no target is usable: cold targets accept the next request
+# after 0.3 s.
 NO_TARGET_SECONDS = 0.3
 
 
 class UsableTargets:
-    """Find the targets of a region that a request may go to."""
+    """Find the targets of a region that may be sent a request."""
 
     __slots__ = (
         '_limit_shares',
@@ -35,7 +36,7 @@
         limit_shares: LimitShares,
         retry_schedule: RetrySchedule,
     ) -> None:
-        """Take the targets and what bounds requests to them."""
+        """Use the targets and the limiters of requests to them."""
         self._region = region
         self._targets = targets
         self._pace = pace
@@ -50,14 +51,17 @@
         *,
         is_urgent: bool,
     ) -> list[Target]:
-        """Return the targets of a service, the soundest kind that there is."""
+        """Return a service's usable targets of the best available state.
+
+        Healthy targets come first, then ejected ones, then leaving ones.
+        """
         candidates = [
             target
             for target in self._targets.of(service, self._region)
             if target.record.data_centre not in self._targets.evacuated
             and target.record.instance not in tried
-            # Nothing listens there. As the seemingly idlest target it would
-            # take request after request that another region could serve.
+            # Nothing listens there, so that the target looks idle and would
+            # attract requests that another region could serve.
             and target.unreachable_until <= now
             and self._allows_cold(target, now)
             and self._is_admitted(target, now, is_urgent=is_urgent)
@@ -73,22 +77,22 @@
         ]
 
     def record_sent(self, target: Target, now: float) -> bool:
-        """Take that a request leaves; tell whether a limit counts it."""
+        """Count a request that is sent; tell whether a limit counts it."""
         if target.cold_until > now:
             self._pace.record_sent(target, now)
         target.pushback.backoff.record_sent(now)
         return self._limit_shares.record_sent(target, now)
 
     def no_target_rejection(self, service: str, now: float) -> Reject:
-        """Say why there is no target, and when there may be one."""
+        """Return a rejection with the reason why no target is usable."""
         pushbacks = [
             target.pushback
             for target in self._targets.of(service, self._region)
             if target.last_resort_until is None
         ]
-        named = [one.limit for one in pushbacks if one.limit.per_second]
-        if named:
-            per_second = self._limit_shares.mean_per_second(named)
+        limits = [one.limit for one in pushbacks if one.limit.per_second]
+        if limits:
+            per_second = self._limit_shares.mean_per_second(limits)
             after_seconds = self._retry_schedule.after_seconds(
                 service, per_second
             )
@@ -104,7 +108,7 @@
     def _is_admitted(
         self, target: Target, now: float, *, is_urgent: bool
     ) -> bool:
-        """Tell whether a target takes a request by what it asked for."""
+        """Tell whether a target's backoff and limit admit a request."""
         if not target.pushback.backoff.allows(now):
             return False
         return self._limit_shares.allows(target, now, is_urgent=is_urgent)
--- a/tools/ablations/decisions.py
+++ b/tools/ablations/decisions.py
@@ -192,8 +192,8 @@
         [
             (
                 'placement/targets.py',
-                'for life, load in loads.items():\n            target = self._by_incarnation.get(life)',
-                "for life, load in loads.items():\n            target = self._by_incarnation.get(f'{life.split(chr(47))[0]}/1790000000000')",
+                'for incarnation_id, load in loads.items():\n            target = self._by_incarnation.get(incarnation_id)',
+                "for incarnation_id, load in loads.items():\n            target = self._by_incarnation.get(f'{incarnation_id.split(chr(47))[0]}/1790000000000')",
             ),
         ],
         GATEWAY + 'test_rebirth.py',
--- a/tools/ablations/fleet.py
+++ b/tools/ablations/fleet.py
@@ -67,8 +67,8 @@
         [
             (
                 'placement/targets.py',
-                'is_followed = self._totals_makers.get(reporter) == maker',
-                'is_followed = True',
+                'is_same_source = self._totals_sources.get(reporter) == source',
+                'is_same_source = True',
             ),
         ],
         COLLECTORS
@@ -112,8 +112,8 @@
         [
             (
                 'placement/estimates.py',
-                'kind = (cached, target.record.data_centre)',
-                "kind = (cached, '')",
+                'key = (cached, target.record.data_centre)',
+                "key = (cached, '')",
             ),
         ],
         CHOICE,
