--- a/tests/gateway/limited_targets.py
+++ b/tests/gateway/limited_targets.py
@@ -1,4 +1,4 @@
-"""Stand for targets that ask in their answers for less than comes."""
+"""Simulate targets that limit the request rate in their answers."""
 
 import threading
 import time
@@ -7,31 +7,31 @@
 from tests.gateway.http_server import Reply
 from tests.gateway.target_standin import echoed
 
-# What the platform allows a target that named a limit, over this time.
+# Requests that the platform allows beyond a target's limit, within a window.
 WINDOW_SECONDS = 4.0
 EXCESS = 1.5
 SLACK_REQUESTS = 5
-# From when on, after the first answer that named it.
+# Time after the first answer with a limit from which the limit must hold.
 CONTACT_SECONDS = 5.0
 
 
-class Need:
-    """Name a limit in all answers, and keep when requests arrived."""
+class LimitedTarget:
+    """Send a limit in all answers, and record arrivals."""
 
     def __init__(self, per_second):
         self.per_second = per_second
-        self.named_at = None
+        self.first_sent_at = None
         self.arrivals = []
-        self.written = None
+        self.header_text = None
 
     async def serve(self, target, request, writer):
-        """Answer, with the limit while there is one."""
+        """Answer, with the limit if there is one."""
         now = time.monotonic()
         self.arrivals.append(now)
         headers = echoed(request)
         if self.per_second is not None:
-            self.named_at = self.named_at or now
-            text = self.written or f'{self.per_second}'
+            self.first_sent_at = self.first_sent_at or now
+            text = self.header_text or f'{self.per_second}'
             headers.append(('Server-Limit', text))
         target.executed.append(request)
         writer.write(Reply(200, headers, target.instance.encode()).wire())
@@ -40,12 +40,12 @@
 
 
 def allowed(per_second):
-    """Return how many requests may come in one window."""
+    """Return how many requests may arrive in one window."""
     return EXCESS * per_second * WINDOW_SECONDS + SLACK_REQUESTS
 
 
 def most_in_a_window(arrivals, since):
-    """Return the most arrivals of any window that begins at a time or later."""
+    """Return the most arrivals in any window since a time."""
     late = sorted(at for at in arrivals if at >= since)
     return max(
         (
@@ -57,7 +57,7 @@
 
 
 class Callers:
-    """Ask all hosts again and again from threads."""
+    """Send requests to all hosts in turn from threads."""
 
     def __init__(self, deployment, path, count, pause_seconds=0.02):
         self._deployment = deployment
@@ -94,12 +94,12 @@
 
 
 def born_now(scene):
-    """Return a birth a moment after the time of a scene."""
+    """Return a start time in milliseconds, just after a scene's clock."""
     return int(scene.clock.now().timestamp() * 1000) + 1
 
 
 def start(deployment, hosts, targets, prefix='/d/'):
-    """Start hosts before targets of one service, and wait until they serve."""
+    """Start hosts for targets of one service, and wait until they serve."""
     deployment.put_routes(route(prefix, 'desk', 'idempotent'))
     for instance in targets:
         deployment.add_target(instance, 'desk')
--- a/tests/gateway/peak.py
+++ b/tests/gateway/peak.py
@@ -1,4 +1,4 @@
-"""Replay a region's peak: many hosts, lagging reports, engines with caches."""
+"""Replay a region's peak: many hosts, late reports, engines with caches."""
 
 import random
 from collections import OrderedDict
@@ -8,8 +8,8 @@
 from jacinthfold.request.messages import PromptPart
 from tests.fakes import FakeClock
 
-# What the sheets say of an engine, and a region's peak as it was recorded.
-READ_TOKENS_PER_SECOND = 81900
+# Data sheet of an engine, and a region's peak as it was recorded.
+PREFILL_TOKENS_PER_SECOND = 81900
 CACHE_TOKENS = 300000
 HOSTS = 22
 ENGINES = 15
@@ -21,7 +21,7 @@
 
 
 class Engine:
-    """Read prompts one after the other and keep the latest parts."""
+    """Prefill prompts one after the other and cache the latest segments."""
 
     def __init__(self):
         self.free_at = 0.0
@@ -36,8 +36,8 @@
             tokens += part.tokens
         return tokens
 
-    def read(self, parts, reused_tokens, now):
-        """Return when the prompt has been read."""
+    def prefill(self, parts, reused_tokens, now):
+        """Return when the prompt will have been prefilled."""
         name = ''
         for part in parts:
             name += f'/{part.name}'
@@ -47,12 +47,12 @@
             self.cache.popitem(last=False)
         tokens = sum(part.tokens for part in parts) - reused_tokens
         begins_at = max(now, self.free_at)
-        self.free_at = begins_at + tokens / READ_TOKENS_PER_SECOND
+        self.free_at = begins_at + tokens / PREFILL_TOKENS_PER_SECOND
         return self.free_at
 
 
 class Peak:
-    """Hold hosts that place reviews on the same engines."""
+    """Replay requests of many hosts to the same engines."""
 
     def __init__(self, make_scene, seed):
         self.clock = FakeClock()
@@ -62,10 +62,10 @@
         for scene in self.scenes:
             for instance in self.engines:
                 scene.add(instance)
-        self.reading = []
-        self.asked_tokens = 0
+        self.prefilling = []
+        self.shared_tokens = 0
         self.reused_tokens = 0
-        self.refused = 0
+        self.rejected = 0
         self.waits = []
 
     def run(self, seconds):
@@ -80,13 +80,13 @@
             self._place(number, now)
 
     def reused_share(self):
-        """Return which share of the shared tokens was not read again."""
-        return self.reused_tokens / self.asked_tokens
+        """Return the share of the shared tokens that were cached."""
+        return self.reused_tokens / self.shared_tokens
 
     def late_share(self):
-        """Return which share was read too late for the aim, or refused."""
+        """Return the share of requests that were late or rejected."""
         late = sum(wait > LATE_SECONDS for wait in self.waits)
-        return (late + self.refused) / (len(self.waits) + self.refused)
+        return (late + self.rejected) / (len(self.waits) + self.rejected)
 
     def _place(self, number, now):
         scene = self.random.choice(self.scenes)
@@ -100,7 +100,7 @@
         request.facts.parts = parts
         choice = scene.choose(request)
         if not isinstance(choice, SendTo):
-            self.refused += 1
+            self.rejected += 1
             return
         scene.placer.record_sent(choice, request)
         target = choice.estimate.target
@@ -111,19 +111,19 @@
             cached = max(
                 cached, self.engines[source_instance].cached_tokens(parts)
             )
-        ends_at = engine.read(parts, cached, now)
-        unread = request.facts.prompt_tokens - choice.estimate.cached_tokens
-        target.own.add(Load(1, unread, request.facts.prompt_tokens))
-        self.reading.append((ends_at, target, unread))
-        self.asked_tokens += SYSTEM_TOKENS + SUBJECT_TOKENS
+        ends_at = engine.prefill(parts, cached, now)
+        pending = request.facts.prompt_tokens - choice.estimate.cached_tokens
+        target.own.add(Load(1, pending, request.facts.prompt_tokens))
+        self.prefilling.append((ends_at, target, pending))
+        self.shared_tokens += SYSTEM_TOKENS + SUBJECT_TOKENS
         self.reused_tokens += cached
         self.waits.append(ends_at - now)
 
     def _finish(self, now):
-        for entry in [one for one in self.reading if one[0] <= now]:
-            self.reading.remove(entry)
-            _, target, unread = entry
-            target.own.add(Load(-1, -unread, -unread))
+        for entry in [one for one in self.prefilling if one[0] <= now]:
+            self.prefilling.remove(entry)
+            _, target, pending = entry
+            target.own.add(Load(-1, -pending, -pending))
 
     def _report(self, now):
         for number, scene in enumerate(self.scenes):
--- a/tests/gateway/test_choice.py
+++ b/tests/gateway/test_choice.py
@@ -1,4 +1,4 @@
-"""What a choice costs, and plain calls at a region's peak."""
+"""Copy sources of an estimate, and plain calls to a region with a queue."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -14,10 +14,10 @@
 
 
 def test_plain_call_leaves_a_region_whose_targets_make_it_wait():
-    """A region's desks have a queue of calls, another region's stand idle.
+    """Guards against calls that wait in a short queue until it rejects them.
 
-    In its aim the call would be here too, but the queue is short, and what
-    finds it full is turned away.
+    The call would meet its latency objective in this region too, but the
+    targets of the other region are idle.
     """
     scene = Scene()
     target = scene.add('i-0', 'desk', slots=SLOTS)
@@ -33,17 +33,17 @@
 @settings(max_examples=60, deadline=None)
 @given(st.data())
 def test_deduplicated_copy_sources_give_the_same_estimates(data):
-    """Targets of two data centres keep nothing, one part, or both.
+    """Targets of two data centres cache none, one or both prefix segments.
 
-    Compared with every target as a keeper, the chosen few must lead to the
-    same estimate of each.
+    With one copy source of each kind, the estimates must be the same as with
+    every target as a source.
     """
     scene = Scene()
     request = prompt(scene, 'subject')
     chain = [link.name for link in request.facts.shared_chain]
     for number in range(data.draw(st.integers(2, 9))):
-        place = data.draw(st.sampled_from(['n-1', 's-1']))
-        target = scene.add(f'i-{number}', data_centre=place)
+        data_centre = data.draw(st.sampled_from(['n-1', 's-1']))
+        target = scene.add(f'i-{number}', data_centre=data_centre)
         target.cached_prefixes.record_use(chain[: data.draw(st.integers(0, 2))])
         pending = data.draw(st.sampled_from([0, 20000, 60000]))
         target.own = Load(2, pending, pending)
@@ -52,16 +52,18 @@
     targets = scene.targets.all()
     memory = scene.targets.service('model').memory_tokens
     shared = request.facts.shared_chain
-    every = [
+    all_sources = [
         CopySource(one, kept)
         for one in targets
         if (kept := one.cached_prefixes.cached_tokens(shared, memory))
         >= limits.COPY_AT_LEAST_TOKENS
     ]
-    few = estimator.copy_sources(request, targets)
-    assert len(few) <= len(every)
+    distinct_sources = estimator.copy_sources(request, targets)
+    assert len(distinct_sources) <= len(all_sources)
     for target in targets:
-        one = estimator.estimate_with_copy(request, target, now, few)
-        other = estimator.estimate_with_copy(request, target, now, every)
+        one = estimator.estimate_with_copy(
+            request, target, now, distinct_sources
+        )
+        other = estimator.estimate_with_copy(request, target, now, all_sources)
         assert one.seconds == other.seconds
         assert one.copy_source is other.copy_source
--- a/tests/gateway/test_herd.py
+++ b/tests/gateway/test_herd.py
@@ -1,4 +1,4 @@
-"""Many hosts place plain calls by the same late news."""
+"""Many hosts place plain calls by the same stale load data."""
 
 import random
 
@@ -17,33 +17,35 @@
 HOSTS = 40
 SLOTS = 6
 QUEUE = 24
-# Of four targets, as they were learned: they differ by what says nothing.
+# Measured duration of calls at four targets, with insignificant differences.
 CALL_SECONDS = {f'i-{n}': 0.055 + 0.003 * n for n in range(4)}
 PER_SECOND = 200
 REPORT_EVERY_SECONDS = 0.3
 
 
 class Desk:
-    """Run calls in slots, queue some more, turn the rest away."""
+    """Run calls in slots, queue a few more and reject the others."""
 
     def __init__(self, seconds):
         self.seconds = seconds
-        self.ends = []
+        self.end_times = []
         self.rejected = 0
 
     def take(self, now):
-        """Return when a call ends, None if it is turned away."""
-        self.ends = sorted(end for end in self.ends if end > now)
-        if len(self.ends) >= SLOTS + QUEUE:
+        """Return when a call ends, None if it is rejected."""
+        self.end_times = sorted(end for end in self.end_times if end > now)
+        if len(self.end_times) >= SLOTS + QUEUE:
             self.rejected += 1
             return None
-        begins_at = now if len(self.ends) < SLOTS else self.ends[-SLOTS]
-        self.ends.append(begins_at + self.seconds)
-        return self.ends[-1]
+        begins_at = (
+            now if len(self.end_times) < SLOTS else self.end_times[-SLOTS]
+        )
+        self.end_times.append(begins_at + self.seconds)
+        return self.end_times[-1]
 
 
 class Replay:
-    """Hold hosts, targets and the calls that are out."""
+    """Replay calls of many hosts to the same targets."""
 
     def __init__(self, seed):
         self.clock = FakeClock()
@@ -59,15 +61,15 @@
         self.in_flight = []
 
     def run(self, seconds):
-        """Return how many calls were made and turned away."""
+        """Return the number of calls and of rejected calls."""
         reported_at = self.clock.monotonic()
         calls = int(seconds * PER_SECOND)
         for _ in range(calls):
             self.clock.advance(self.random.expovariate(PER_SECOND))
             now = self.clock.monotonic()
-            for ended in [one for one in self.in_flight if one[0] <= now]:
-                self.in_flight.remove(ended)
-                ended[1].own.add(Load(-1))
+            for finished in [one for one in self.in_flight if one[0] <= now]:
+                self.in_flight.remove(finished)
+                finished[1].own.add(Load(-1))
             if now - reported_at > REPORT_EVERY_SECONDS:
                 reported_at = now
                 self.report(now)
@@ -99,11 +101,11 @@
 
 @pytest.mark.parametrize('seed', range(2))
 def test_hosts_with_the_same_load_data_spread_their_choices(seed):
-    """Forty hosts send 200 calls a second to targets that could serve 400.
+    """Guards against many hosts that all choose the same target.
 
-    All hear every 0.3 s which one has fewest calls, and would send to that one
-    until they hear again: its 24 places fill, and callers are sent away though
-    the other targets stand idle.
+    Forty hosts send 200 calls a second to targets that could serve 400. All
+    learn every 0.3 s which target has the fewest calls; if they all sent to it,
+    its queue of 24 would fill and reject calls while other targets are idle.
     """
     calls, rejected = Replay(seed).run(6.0)
     assert rejected < 0.01 * calls
@@ -118,7 +120,7 @@
 
 
 def test_jitter_grows_with_load_and_hosts():
-    """Ten calls a second of each host, twenty others, 10 ms of work each."""
+    """Twenty other hosts send ten calls a second each, of 10 ms each."""
     jitter = LoadJitter()
     for number in range(200):
         jitter.record_sent('desk', number / 10)
--- a/tests/gateway/test_kept.py
+++ b/tests/gateway/test_kept.py
@@ -1,4 +1,4 @@
-"""What is believed of the parts that a target keeps."""
+"""The model of the prompt prefixes that a target has cached."""
 
 from jacinthfold.placement.prefix_cache import (
     USE_REPORT_SECONDS,
@@ -28,7 +28,7 @@
 
 
 def test_newer_prompts_evict_older_prefixes():
-    """A subject is asked for again after 80,000 tokens of other prompts."""
+    """A prefix is requested again after 80,000 tokens of other prompts."""
     cached = CachedPrefixes()
     cached.record_use(['/a'])
     cached.add_prefilled(50000)
--- a/tests/gateway/test_leaving_in_answers.py
+++ b/tests/gateway/test_leaving_in_answers.py
@@ -1,4 +1,4 @@
-"""Targets that say in their answers that they leave."""
+"""Targets that announce in their answers that they leave."""
 
 import time
 
@@ -12,19 +12,19 @@
 from tests.gateway.target_standin import echoed, late, serve_plain
 from tests.gateway.test_placement import Scene
 
-# The platform's bound on requests to a target after its word.
+# The platform allows requests to a leaving target for this time.
 LEFT_SECONDS = 3.0
 
 
 class LeavingTarget:
-    """Say in all answers that the target leaves, and keep arrivals."""
+    """Announce leaving in all answers and record arrivals."""
 
     def __init__(self):
         self.announced_at = None
         self.arrivals = []
 
     async def serve(self, target, request, writer):
-        """Answer with the word."""
+        """Answer with the leaving header."""
         now = time.monotonic()
         self.announced_at = self.announced_at or now
         self.arrivals.append(now)
@@ -38,11 +38,11 @@
 def test_leaving_target_gets_no_requests_while_the_store_is_down(
     deployment,
 ):
-    """Guards against hosts that go by the record alone, which can't change."""
+    """Guards against hosts that only use the record, which can't change."""
     start(deployment, hosts=2, targets=['i-1', 'i-2', 'i-3'])
     leaving_target = LeavingTarget()
     deployment.targets['i-1'].script = leaving_target.serve
-    # The target that leaves is the fastest: what may be sent there is.
+    # The leaving target is the fastest, so that the hosts prefer it.
     for name in ('i-2', 'i-3'):
         deployment.targets[name].script = late(0.05, serve_plain)
     deployment.store.is_down = True
@@ -61,7 +61,7 @@
         if at > leaving_target.announced_at + 3
     ]
     assert too_late == []
-    # Its record still says ready once the store is back.
+    # Its record still says ready when the store is back.
     assert after == []
 
 
@@ -77,7 +77,7 @@
 
 
 def test_ready_record_does_not_override_a_leaving_answer():
-    """Guards against a word that an older record or another answer undoes."""
+    """Guards against an older record or a late answer that undoes leaving."""
     scene = Scene()
     target = scene.add('i-1')
     scene.add('i-2').own = Load(9, 20000, 20000)
@@ -88,7 +88,7 @@
 
 
 def test_errors_and_rejections_also_announce_leaving():
-    """Guards against words that only successes are read for."""
+    """Guards against a leaving header that only successes are read for."""
     for status in (200, 404, 429, 500, 503):
         scene = Scene()
         target = scene.add('i-1')
@@ -97,7 +97,7 @@
 
 
 def test_misdirected_answer_does_not_mark_a_target_as_leaving():
-    """Guards against an address that is used again by one that leaves."""
+    """Guards against an address that a leaving target has taken over."""
     scene = Scene()
     target = scene.add('i-1')
     receive(scene, target, answer(status=421))
@@ -105,7 +105,7 @@
 
 
 def test_only_target_is_used_until_its_last_resort_ends():
-    """Guards against callers that a target would still have served."""
+    """Guards against rejections of requests that it would still serve."""
     scene = Scene()
     target = scene.add('i-1')
     receive(scene, target, answer())
@@ -116,7 +116,7 @@
 
 
 def test_request_chosen_before_the_leaving_answer_is_not_sent_late():
-    """Guards against a host that was held up between choice and send."""
+    """Guards against a delay between the choice and the send."""
     scene = Scene()
     target = scene.add('i-1')
     scene.choose(scene.request())
@@ -128,7 +128,7 @@
 
 
 def test_leaving_outlives_a_lapsed_record_but_not_the_incarnation():
-    """Guards against a leaving target that the store's outage makes new."""
+    """Guards against leaving that is forgotten in an outage of the store."""
     scene = Scene()
     target = scene.add('i-1', born_ms=1)
     receive(scene, target, answer())
--- a/tests/gateway/test_limit_shares.py
+++ b/tests/gateway/test_limit_shares.py
@@ -1,4 +1,4 @@
-"""A target's limit is kept by all hosts together, however many there are."""
+"""A target's request limit holds for any number of hosts together."""
 
 import random
 from http import HTTPStatus
@@ -31,7 +31,7 @@
 
 
 class Region:
-    """Hold hosts that send to targets of which some are in need."""
+    """Simulate hosts that send to targets, some of them with limits."""
 
     def __init__(self, hosts, targets=2, seed=1):
         self.fleet = Fleet(hosts, seed=seed)
@@ -40,10 +40,10 @@
         self.arrivals = {f'i-{number}': [] for number in range(targets)}
         for instance in self.arrivals:
             self.fleet.add_target(instance)
-        self.refused = []
-        # Names of the hosts that callers are connected to, all by default.
-        self.asked = None
-        # The wire between hosts and targets: answers take a moment.
+        self.rejected = []
+        # Names of the hosts that have callers, all by default.
+        self.connected = None
+        # Answers in transit: each arrives in the next step.
         self._answers = []
 
     @property
@@ -60,7 +60,7 @@
             wanted = per_second * STEP_SECONDS
             count = int(wanted) + (self.random.random() < wanted % 1)
             for _ in range(count):
-                self._ask()
+                self._send_request()
 
     def _answer(self):
         for host, target, sent_at, per_second in self._answers:
@@ -71,14 +71,14 @@
                 )
         self._answers = []
 
-    def _ask(self):
+    def _send_request(self):
         running = self.fleet.running()
-        names = sorted(set(running).intersection(self.asked or running))
+        names = sorted(set(running).intersection(self.connected or running))
         host = running[self.random.choice(names)]
         request = host.scene.request(500)
         choice = host.scene.choose(request)
         if isinstance(choice, Reject):
-            self.refused.append((self.now, choice))
+            self.rejected.append((self.now, choice))
             return
         assert isinstance(choice, SendTo)
         host.scene.placer.record_sent(choice, request)
@@ -92,14 +92,14 @@
         return most_in_a_window(self.arrivals[instance], since)
 
     def per_second(self, instance, since):
-        late = [at for at in self.arrivals[instance] if at >= since]
-        return len(late) / (self.now - since)
+        recent = [at for at in self.arrivals[instance] if at >= since]
+        return len(recent) / (self.now - since)
 
 
 @pytest.mark.parametrize('hosts', [1, 3, 24, 65])
 @pytest.mark.parametrize('limit', [0.3, 1.2, 20.0])
 def test_limit_holds_over_all_hosts_and_is_used(hosts, limit):
-    """Guards against limits kept by each host alone, or split to nothing."""
+    """Guards against limits per host, and against shares too small to use."""
     region = Region(hosts)
     region.run(5, per_second=150)
     region.limits = {instance: limit for instance in region.arrivals}
@@ -111,7 +111,7 @@
 
 
 def test_limit_that_ends_is_forgotten_by_all_hosts():
-    """Guards against targets that get nothing for good after their need."""
+    """Guards against targets that get no requests after a limit ended."""
     region = Region(24)
     region.run(5, per_second=100)
     region.limits['i-0'] = 1.2
@@ -129,7 +129,7 @@
 
 
 def test_limit_of_a_holder_without_callers_moves_on():
-    """Guards against a limit held by a host that nobody asks."""
+    """Guards against a limit that is held by a host without callers."""
     region = Region(8)
     region.run(5, per_second=50)
     region.limits['i-0'] = 1.2
@@ -139,7 +139,7 @@
         for name, host in region.fleet.hosts.items()
         if host.scene.placer.limit_shares._ranks.position('i-0') == 0
     )
-    region.asked = set(region.fleet.hosts) - {first}
+    region.connected = set(region.fleet.hosts) - {first}
     since = region.now + CONTACT_SECONDS
     region.run(60, per_second=50)
     assert region.most('i-0', since) <= allowed(1.2)
@@ -147,7 +147,7 @@
 
 
 def test_limit_of_a_dead_holder_moves_on():
-    """Guards against a limit that dies with the host that held it."""
+    """Guards against a limit that is lost with the host that held it."""
     region = Region(8)
     region.run(5, per_second=50)
     region.limits['i-0'] = 1.2
@@ -162,20 +162,22 @@
 
 
 def test_hosts_cut_from_each_other_keep_a_small_limit():
-    """Guards against two halves of a region that each use a whole limit."""
+    """Guards against two partitions of a region that each use the limit."""
     region = Region(8)
     region.run(5, per_second=50)
     region.limits['i-0'] = 0.8
     region.run(10, per_second=50)
-    half = {f'h{number:03}' for number in range(4)}
-    region.fleet.is_lost = lambda one, other: (one in half) != (other in half)
+    partition = {f'h{number:03}' for number in range(4)}
+    region.fleet.is_lost = lambda one, other: (
+        (one in partition) != (other in partition)
+    )
     since = region.now
     region.run(30, per_second=50)
     assert region.most('i-0', since) <= allowed(0.8)
 
 
 def test_all_limited_targets_reject_at_once_and_spread_retries():
-    """Guards against callers that wait, or come back together for nothing."""
+    """Guards against callers that wait, or all retry at the same time."""
     region = Region(4)
     region.run(5, per_second=40)
     region.limits = {instance: 2.0 for instance in region.arrivals}
@@ -183,23 +185,23 @@
     region.run(20, per_second=40)
     for instance in region.arrivals:
         assert region.most(instance, since) <= allowed(2.0)
-    late = [choice for at, choice in region.refused if at >= since]
-    assert {choice.reason for choice in late} == {'target_limits'}
+    recent = [choice for at, choice in region.rejected if at >= since]
+    assert {choice.reason for choice in recent} == {'target_limits'}
     assert (
-        max(choice.after_seconds for choice in late)
+        max(choice.after_seconds for choice in recent)
         <= MAX_RETRY_AFTER_SECONDS + 1
     )
-    first = [choice.after_seconds for choice in late[:8]]
+    first = [choice.after_seconds for choice in recent[:8]]
     assert len({round(after, 1) for after in first}) > 3
 
 
 def test_reserve_is_left_for_urgent_requests():
-    """Guards against questions that wait behind drafts for a small limit."""
+    """Guards against urgent requests that wait for ordinary ones."""
     scene = Scene()
     target = scene.add('i-1')
     scene.clock.advance(10)
     target.pushback.record_answer(answer(1.0), 0.0, scene.clock.monotonic())
-    # One request is saved up: enough for an urgent one alone.
+    # One request is in the bucket: enough for an urgent one only.
     scene.choose(scene.request())
     scene.clock.advance(1.2 / GRANTED_FRACTION)
     ordinary = scene.request()
@@ -209,7 +211,7 @@
 
 
 def test_request_chosen_before_the_limit_was_reported_is_not_sent():
-    """Guards against a request that waited for its connection meanwhile."""
+    """Guards against a request that waits for a connection meanwhile."""
     scene = Scene()
     target = scene.add('i-1')
     request = scene.request()
@@ -226,7 +228,7 @@
 
 
 def test_gate_before_the_send_asks_the_target():
-    """Guards against a send that goes by the choice of a while ago."""
+    """Guards against a send without a last check of the target's state."""
     scene = Scene()
     request = scene.request()
     progress = Progress(request)
@@ -237,7 +239,7 @@
 
 
 def test_misdirected_answer_sets_no_limit():
-    """Guards against an address that is used again by another target."""
+    """Guards against an address that another target has taken over."""
     scene = Scene()
     target = scene.add('i-1')
     wrong = answer(1.0, HTTPStatus.MISDIRECTED_REQUEST)
@@ -246,7 +248,7 @@
 
 
 def test_failed_answer_does_not_end_a_limit():
-    """Guards against a limit that the target's errors lift."""
+    """Guards against a limit that ends with an error of the target."""
     scene = Scene()
     target = scene.add('i-1')
     target.pushback.record_answer(answer(1.0), 0.0, scene.clock.monotonic())
@@ -263,7 +265,7 @@
 
 
 def test_next_incarnation_has_no_limit_and_ignores_late_answers():
-    """Guards against a limit that outlives the process that named it."""
+    """Guards against a limit that outlives the process that set it."""
     scene = Scene()
     first = scene.add('i-1', born_ms=1)
     first.pushback.record_answer(answer(1.0), 0.0, scene.clock.monotonic())
@@ -284,7 +286,7 @@
     ],
 )
 def test_invalid_limit_reports_are_ignored(report):
-    """Guards against a neighbour's figures that no target can have named."""
+    """Guards against invalid values in another host's report."""
     region = Region(2)
     host = region.fleet.hosts['h000']
     digest = Digest('north', 'n-2', 'x', 1, '10.9.9.9', 0, 1, 0, [])
@@ -294,7 +296,7 @@
 
 
 def test_limit_outlives_a_record_that_lapses():
-    """Guards against a target in need that the store's outage makes new."""
+    """Guards against a limit that is lost in an outage of the store."""
     scene = Scene()
     target = scene.add('i-1', born_ms=1)
     target.pushback.record_answer(answer(1.0), 0.0, scene.clock.monotonic())
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -1,4 +1,4 @@
-"""Where requests run, decided without sockets under recorded load patterns."""
+"""Placement decisions, without sockets, under recorded load patterns."""
 
 import random
 
@@ -23,7 +23,7 @@
 
 
 class Scene:
-    """Hold one host's decisions and a clock that the test moves."""
+    """Set up the placement of one host, with a clock that the test advances."""
 
     def __init__(self, host='a', clock=None, region='north'):
         self.clock = clock or FakeClock()
@@ -92,9 +92,10 @@
 
 
 def test_pending_prefill_counts_and_not_requests():
-    """One engine decodes many answers, another reads one long prompt.
+    """Guards against choosing by request counts.
 
-    What delays a first event is the prompt that is being read.
+    One engine decodes many answers, another one prefills a long prompt. Only
+    the prefill delays a first event.
     """
     scene = Scene()
     scene.add('decoding').own = Load(12, 0, 60000)
@@ -103,10 +104,11 @@
 
 
 def test_urgent_prompt_waits_for_urgent_ones():
-    """An engine has 50,000 tokens of long reviews before it, 0.64 s of reading.
+    """Guards against urgent prompts that count ordinary ones before them.
 
-    It reads a counter question before them. Counted like a review it would
-    be refused, and come back late, where it gets its answer in 0.2 s.
+    An engine has 50,000 tokens of ordinary prompts pending, 0.64 s of prefill.
+    It prefills an urgent prompt first, which is answered in 0.2 s; counted like
+    an ordinary one it would be rejected.
     """
     scene = Scene()
     target = scene.add('i-1')
@@ -156,7 +158,7 @@
 
 
 def test_popular_prefix_spreads_when_its_engine_is_busy():
-    """A cache spares 80 ms of reading; a wait of 500 ms costs more."""
+    """A cache hit saves 80 ms of prefill; a wait of 500 ms costs more."""
     scene = Scene()
     for number in range(3):
         scene.add(f'i-{number}')
@@ -170,7 +172,7 @@
 
 
 def prompt(scene, subject, system='system', own='own', tokens=12000):
-    """Return a request with shared parts of 6,000 tokens and one of its own."""
+    """Return a request with a shared prefix of 6,000 tokens."""
     request = scene.request(tokens=tokens)
     request.facts.parts = (
         PromptPart(system, 500),
@@ -181,10 +183,10 @@
 
 
 def test_hosts_prefer_the_same_target_for_a_prefix():
-    """Two hosts place reviews of one subject and hear nothing of each other.
+    """Two hosts place prompts with one prefix and exchange no reports.
 
-    Each engine that gets the subject reads it again, so they must choose the
-    same one, whatever the order in which they learned of the engines.
+    Each engine that gets the prefix prefills it again, so the hosts must choose
+    the same one, in whatever order they learned of the engines.
     """
     first, second = Scene('a'), Scene('b')
     for number in range(6):
@@ -197,10 +199,9 @@
 
 
 def test_prefix_is_copied_from_a_busy_target():
-    """The engine that keeps a subject has 0.8 s of other prompts before it.
+    """The engine that caches a prefix has 0.8 s of other prompts pending.
 
-    Another one that reads the subject anew spends 70 ms of reading; copying
-    it takes 12 ms.
+    Another one would need 70 ms to prefill it again; a copy takes 12 ms.
     """
     scene = Scene()
     for number in range(3):
@@ -227,34 +228,37 @@
 
 
 def test_rare_leading_segment_keeps_prompts_together():
-    """Questions begin with one of 80 parts and go on with one of thousands.
+    """Prompts begin with one of 80 segments, followed by one of thousands.
 
-    Ordered by what follows, every engine reads each of the 80; by the leading
-    part, one does. A part that every third prompt begins with can't do that:
-    its engine would get a third of all.
+    Ranked by the following segment, every engine prefills each of the 80; by
+    the leading segment, one engine does. A segment that a third of all prompts
+    begin with must not be ranked so: its engine would get a third of the load.
     """
     scene = Scene()
     for number in range(6):
         scene.add(f'i-{number}')
 
-    def engines(leading_parts, name):
+    def engines(segment_count, name):
         chosen = [
-            (lead, scene.instance(prompt(scene, f'{name}-{n}', f'lead-{lead}')))
+            (
+                segment,
+                scene.instance(prompt(scene, f'{name}-{n}', f'lead-{segment}')),
+            )
             for n in range(480)
-            for lead in [n % leading_parts]
+            for segment in [n % segment_count]
         ]
-        return {engine for lead, engine in chosen[240:] if lead == 1}
+        return {engine for segment, engine in chosen[240:] if segment == 1}
 
     assert len(engines(80, 'question')) == 1
     assert len(engines(3, 'review')) > 3
 
 
 def test_peak_of_a_region_with_many_hosts(monkeypatch):
-    """22 hosts place 60 reviews a second on 15 engines for 12 s.
+    """22 hosts place 60 requests a second on 15 engines for 12 s.
 
-    Each host sees few requests and hears of the others' up to 0.4 s late. By
-    the idlest engine alone subjects wander, and the engines spend half of
-    their reading on what another one has read.
+    Each host has few requests and gets reports of the others up to 0.4 s late.
+    Chosen by load alone, prefixes move between engines, which spend half of
+    their prefill on tokens that another engine has cached.
     """
     peak = Peak(Scene, seed=5)
     peak.run(seconds=12)
@@ -267,7 +271,7 @@
 
 
 def test_request_that_would_be_late_goes_to_a_region_with_capacity():
-    """A region's only engine reads 1.3 s of prompts; the aim is 1 s."""
+    """The only engine has 1.3 s of prefill pending; the objective is 1 s."""
     scene = Scene()
     scene.add('i-1').own = Load(4, 100000, 100000)
     scene.receive_report(0.05)
@@ -277,7 +281,7 @@
 
 
 def test_relayed_request_is_not_relayed_again():
-    """Both regions are full; what came from the other is not sent back."""
+    """Guards against requests that bounce between two full regions."""
     scene = Scene()
     scene.add('i-1').own = Load(4, 400000, 100000)
     scene.receive_report(0.0)
@@ -287,32 +291,34 @@
 
 
 def test_requests_in_transit_count_as_load():
-    """A burst meets one report of an idle region.
+    """Guards against a burst that is relayed as a whole to an idle region.
 
-    Without counting what is on its way all of it would follow.
+    The region's report stays the same during the burst, so that the host must
+    count the requests that it has relayed since.
     """
     scene = Scene()
     scene.add('i-1').own = Load(4, 400000, 100000)
     scene.receive_report(0.0)
-    passed = 0
+    relayed = 0
     for _ in range(100):
         request = scene.request(tokens=8000)
         choice = scene.choose(request)
         if isinstance(choice, RelayTo):
             scene.regions.record_relayed(request, choice.region)
-            passed += 1
-    assert 3 <= passed <= 10
+            relayed += 1
+    assert 3 <= relayed <= 10
 
 
 def test_small_requests_in_transit_don_t_fill_a_region():
-    """A region's engines are evacuated; its 80 questions a second go elsewhere.
+    """An evacuated region relays 80 small requests a second to another one.
 
-    Each takes 6 ms of reading there. Counted with the time to their first
-    events they fill the other region within a second, and half are refused.
+    Each takes 6 ms of prefill there. Counted with the whole time to the first
+    event they would fill the other region within a second, and half of them
+    would be rejected.
     """
     scene = Scene()
     scene.receive_report(0.0, count=2)
-    refused = 0
+    rejected = 0
     for _ in range(240):
         scene.clock.advance(1 / 80)
         scene.receive_report(0.05, count=2)
@@ -321,8 +327,8 @@
         if isinstance(choice, RelayTo):
             scene.regions.record_relayed(request, choice.region)
         else:
-            refused += 1
-    assert refused == 0
+            rejected += 1
+    assert rejected == 0
 
 
 def test_region_that_is_not_allowed_is_never_chosen():
@@ -346,10 +352,10 @@
 
 
 def test_large_prompt_is_served_late_rather_than_never():
-    """A prompt takes 0.9 s to read and the aim is 1 s.
+    """A prompt takes 0.9 s to prefill and the objective is 1 s.
 
-    However idle the engines, it can't be on time after any wait; refused,
-    the largest requests would be starved.
+    After any wait it is late, even on nearly idle engines; if that led to a
+    rejection, the largest requests would starve.
     """
     scene = Scene()
     scene.add('i-1').own = Load(1, 20000, 20000)
@@ -357,7 +363,7 @@
 
 
 def test_cut_stream_is_placed_again_after_its_aim():
-    """A stream breaks 3 s after its start; its aim was 1 s."""
+    """A stream breaks 3 s after its start, with an objective of 1 s."""
     scene = Scene()
     scene.add('i-1')
     scene.add('i-2')
@@ -382,10 +388,10 @@
 
 
 def test_crashed_targets_don_t_draw_requests_from_other_regions():
-    """A region's engines crash; their records stay for three heartbeats.
+    """Guards against crashed engines that look idle and attract requests.
 
-    Connections to them are refused at once, which makes them look idle. The
-    requests belong to the region that still serves.
+    Their records stay for three heartbeats, and connections to them are refused
+    at once. Another region can serve the requests.
     """
     scene = Scene()
     now = scene.clock.monotonic()
@@ -411,10 +417,11 @@
 
 
 def test_target_first_seen_when_it_leaves_is_leaving():
-    """A target comes back and drains before any host has heard of it.
+    """Guards against a draining target that gets requests as a new one.
 
-    Its first record says so already. Taken for one that stays, it would get
-    requests until its record vanishes, seconds after it was to get none.
+    It restarts and drains before any host knows it, so that its first record
+    says draining. Treated as staying, it would get requests for seconds, until
+    its record is gone.
     """
     scene = Scene()
     scene.add('i-1', is_draining=True)
@@ -444,7 +451,7 @@
 
 
 class ColdRegion:
-    """Hold several hosts of a region in front of one cold engine."""
+    """Set up several hosts of a region with one cold engine."""
 
     def __init__(self, count, views=None, engine='cold'):
         self.clock = FakeClock()
@@ -457,7 +464,7 @@
             self.hosts.append(scene)
 
     def sent_within(self, seconds, pause_seconds=0.02):
-        """Offer a request to each host again and again; return the times."""
+        """Offer requests to each host in turn; return the times of sends."""
         times = []
         end = self.clock.monotonic() + seconds
         while self.clock.monotonic() < end:
@@ -480,10 +487,10 @@
 
 @pytest.mark.parametrize('count', [1, 3, 26])
 def test_cold_engine_gets_what_it_tolerates_over_all_hosts(count):
-    """A zone comes back; every host of its region has work for it.
+    """Guards against hosts that together overload a cold engine.
 
-    Pushed past 3.3 requests a second the engine crashes and comes back cold,
-    again and again. The bound of the rules is 1.5 times that plus 3.
+    Above 3.3 requests a second the engine crashes and restarts cold, again and
+    again. The platform allows 1.5 times that plus 3 requests.
     """
     times = ColdRegion(count).sent_within(4)
     assert 8 <= len(times) <= 4 * 3.3 + 1
@@ -491,18 +498,18 @@
 
 
 def test_cold_engine_is_safe_when_hosts_disagree():
-    """Two hosts don't know each other yet, so that both think it theirs."""
+    """Two hosts don't know each other yet, so that both rank first."""
     names = [['host-0'], ['host-1']]
     times = ColdRegion(2, names).sent_within(4)
     assert most_in_a_second(times) <= 3.3 * 1.5 + 3
 
 
 def test_cold_engine_is_safe_when_a_region_starts_again_at_once():
-    """A region comes back: 24 hosts within 1.3 s, and its engines, cold.
+    """A region restarts: 24 hosts within 1.3 s, and its engines cold.
 
-    Leases of the hosts' records have run out, so each host is ready 0.3 s
-    after its start and knows those that started before it. Each for which it
-    is first among those takes the engine for its own to pace.
+    The leases of the hosts' records have expired, so each host is ready 0.3 s
+    after its start and knows only those that started before it. Each host that
+    ranks first among those sends to the cold engine.
     """
     started = [f'host-{number}' for number in range(24)]
     names = [started[: number + 1] for number in range(24)]
@@ -528,7 +535,7 @@
     )
 )
 def test_hosts_together_never_pass_the_retry_budget(steps):
-    """Whatever the times, a window holds no more repeats than allowed."""
+    """At any times, a window contains no more retries than allowed."""
     clock = FakeClock()
     hosts = [RetryBudgets(0.2, 56, 10, clock) for _ in range(8)]
     for budgets in hosts:
@@ -558,10 +565,10 @@
 
 
 def test_prefix_is_cached_in_one_region_of_all_that_may_serve_it():
-    """Two regions are asked for the same 40 subjects by a free route.
+    """Two regions get prompts with the same 40 prefixes, on an unbound route.
 
-    Read in both they cost twice the reading and the memory. Hosts of both
-    regions choose the same one without asking each other.
+    Cached in both regions, the prefixes cost twice the prefill and memory.
+    Hosts of both regions choose the same one without coordination.
     """
     north, south = Scene('a'), Scene('b', region='south')
     for number in range(3):
@@ -570,13 +577,15 @@
             scene.add(f's-{number}', data_centre='s-1')
     north.receive_report(0.0, count=3)
     south.receive_report(0.0, count=3, region='north')
-    stays = 0
+    stay_count = 0
     for number in range(40):
-        asked = [prompt(scene, f'subject-{number}') for scene in (north, south)]
-        here = isinstance(north.choose(asked[0]), SendTo)
-        assert isinstance(south.choose(asked[1]), SendTo) is not here
-        stays += here
-    assert 8 < stays < 32
+        requests = [
+            prompt(scene, f'subject-{number}') for scene in (north, south)
+        ]
+        here = isinstance(north.choose(requests[0]), SendTo)
+        assert isinstance(south.choose(requests[1]), SendTo) is not here
+        stay_count += here
+    assert 8 < stay_count < 32
 
 
 def test_region_bound_prompt_stays_in_its_home_region():
@@ -591,16 +600,17 @@
 
 
 def test_large_unbound_prompt_leaves_capacity_for_bound_requests():
-    """Home has 0.25 s of reading, in time for all; the other region is idle.
+    """Guards against large unbound prompts that fill the home region.
 
-    Drafts that may go anywhere fill home, and questions that may not find no
-    place there soon after.
+    It has 0.25 s of prefill pending, still in time for all, and the other
+    region is idle. Requests that only the home region may serve would find no
+    capacity soon after.
     """
     scene = Scene()
     scene.add('i-1').own = Load(4, 15000, 15000)
     scene.receive_report(0.0)
-    free = scene.request(tokens=12000)
-    assert isinstance(scene.choose(free), RelayTo)
+    unbound = scene.request(tokens=12000)
+    assert isinstance(scene.choose(unbound), RelayTo)
     bound = scene.request(tokens=12000, home_regions=frozenset({'north'}))
     assert isinstance(scene.choose(bound), SendTo)
     small = scene.request(tokens=400)
--- a/tests/gateway/test_rebirth.py
+++ b/tests/gateway/test_rebirth.py
@@ -1,4 +1,4 @@
-"""Targets that start again as the same instance."""
+"""Targets that restart under the same instance name."""
 
 import json
 
@@ -26,11 +26,11 @@
 
 @pytest.mark.parametrize('later', [BORN + 9000, BORN - 9000])
 def test_restarted_target_begins_with_fresh_state(later):
-    """An engine crashes and starts again as the same instance.
+    """Guards against state of an engine that outlives its restart.
 
-    It holds nothing of before: believed to be loaded it would stand idle,
-    believed to keep a prompt it would read it unexpectedly, and a connection
-    of before brings nothing. Its clock may have gone back meanwhile.
+    After a crash its load, its cached prefixes and its connections are gone:
+    with the old load it would stay idle, and with the old prefixes it would be
+    slower than estimated. Its clock may have gone back meanwhile.
     """
     scene = Scene()
     first = scene.add('i-1', born_ms=BORN)
@@ -58,7 +58,7 @@
 
 
 def test_load_of_the_previous_incarnation_does_not_count():
-    """A request is out at an engine as it starts again, and ends after that."""
+    """A request is in flight when an engine restarts, and ends later."""
     scene = Scene()
     first = scene.add('i-1', born_ms=BORN)
     first.own.add(Load(1, 4000, 4000))
@@ -69,9 +69,9 @@
 
 
 def test_pace_of_a_cold_target_goes_on_over_its_restart():
-    """A cold engine starts again within a second of its last request.
+    """A cold engine restarts within a second after its last request.
 
-    The bound on what it gets in a second is for the instance.
+    The limit of requests per second is for the instance.
     """
     scene = Scene()
     first = scene.add('i-1', born_ms=BORN, cold_seconds=3.0)
@@ -82,9 +82,9 @@
 
 
 def test_late_report_of_the_previous_incarnation_is_ignored():
-    """Another host was cut off as the engine started again.
+    """Another host was disconnected when the engine restarted.
 
-    Its heartbeats still speak of the life before.
+    Its heartbeats still report the previous incarnation.
     """
     scene = Scene()
     first = scene.add('i-1', born_ms=BORN)
@@ -103,38 +103,41 @@
 
 
 def test_two_restarts_and_a_late_record_of_the_first_incarnation():
-    """A target starts again twice; a neighbour's list still has the first."""
+    """A target restarts twice; another host's list still has the first."""
     made, _ = catalogue()
 
     def record(revision, born):
         content = json.dumps(entry(born=born)).encode()
         return Record('servers/i', revision, content)
 
-    lives = []
+    starts = []
     scene = Scene()
     listener = made._listeners[0]
-    listener.on_target = lambda one: lives.append(one.born_ms)
+    listener.on_target = lambda one: starts.append(one.born_ms)
     made.apply([record(3, BORN)], 3)
     made.apply([record(5, BORN + 1), record(7, BORN + 2)], 7)
     made.replace([record(3, BORN)], 6)
     made.apply([record(3, BORN)], 7)
-    assert lives == [BORN, BORN + 1, BORN + 2]
+    assert starts == [BORN, BORN + 1, BORN + 2]
     assert scene.targets.all() == []
 
 
 def test_heartbeat_names_the_incarnation_and_tolerates_unknown_fields():
-    """Hosts of two versions run beside each other while one is rolled out."""
+    """Hosts of two versions run together during a rollout."""
     scene = Scene()
     target = scene.add('i-1', born_ms=BORN)
     target.own.add(Load(1, 10, 20, 5))
-    heard = Scene('b', scene.clock)
-    other = heard.add('i-1', born_ms=BORN)
-    sender, receiver = _heartbeats(scene, 'a'), _heartbeats(heard, 'b')
+    receiving_scene = Scene('b', scene.clock)
+    other = receiving_scene.add('i-1', born_ms=BORN)
+    sender, receiver = (
+        _heartbeats(scene, 'a'),
+        _heartbeats(receiving_scene, 'b'),
+    )
     document = json.loads(sender._message())
     document['a_later_field'] = {'x': [1]}
     receiver.datagram_received(json.dumps(document).encode(), ('a', 1))
     assert other.load(scene.clock.monotonic()).urgent_tokens == 5
-    again = heard.add('i-1', born_ms=BORN + 1)
+    again = receiving_scene.add('i-1', born_ms=BORN + 1)
     receiver.datagram_received(json.dumps(document).encode(), ('a', 1))
     assert again.load(scene.clock.monotonic()).requests == 0
 
--- a/tests/gateway/test_target_rest.py
+++ b/tests/gateway/test_target_rest.py
@@ -1,4 +1,4 @@
-"""Targets that turn requests away and ask for a rest."""
+"""Targets that reject requests and request a backoff."""
 
 import time
 
@@ -16,19 +16,20 @@
 from tests.gateway.test_placement import Scene
 
 BACKOFF_SECONDS = 3.0
-# What the platform allows from one host, from this time after the word on.
+# Requests that the platform allows one host in a backoff, not counting those
+# that arrive within this time after the rejection.
 NOTICE_SECONDS = 0.5
 ALLOWED = 2
 
 
 class BackoffTarget:
-    """Turn all requests away for a while, and keep when they came."""
+    """Reject all requests and record their arrivals."""
 
     def __init__(self):
         self.arrivals = []
 
     async def serve(self, target, request, writer):
-        """Reject, and ask for a rest."""
+        """Reject a request and request a backoff."""
         self.arrivals.append(time.monotonic())
         headers = [('Not-Executed', '1'), ('Retry-After', f'{BACKOFF_SECONDS}')]
         writer.write(Reply(503, headers).wire())
@@ -36,7 +37,7 @@
         return True
 
     def most_in_a_backoff(self):
-        """Return the most arrivals in the rest after any refusal."""
+        """Return the most arrivals in the backoff after any rejection."""
         return max(
             (
                 sum(
@@ -53,13 +54,13 @@
 
 @pytest.mark.parametrize('backoff_count', [1, 3, 4])
 def test_host_sends_nothing_during_a_backoff(deployment, backoff_count):
-    """Guards against a pause of our own that is shorter than the target's."""
+    """Guards against a backoff that is shorter than the target requests."""
     targets = ['i-1', 'i-2', 'i-3', 'i-4']
     start(deployment, hosts=1, targets=targets)
     backing_off = {name: BackoffTarget() for name in targets[:backoff_count]}
     for name, one in backing_off.items():
         deployment.targets[name].script = one.serve
-    # Those that rest would be the fastest: what may be sent there is.
+    # The targets that reject are the fastest, so that the host prefers them.
     for name in targets[backoff_count:]:
         deployment.targets[name].script = late(0.05, serve_plain)
     with Callers(deployment, '/d/x', count=6, pause_seconds=0.005) as callers:
@@ -70,7 +71,7 @@
     assert bool(served) is (backoff_count < len(targets))
 
 
-def refused(seconds):
+def rejected(seconds):
     facts = AnswerFacts()
     facts.is_not_run = True
     facts.rest_seconds = seconds
@@ -94,10 +95,10 @@
 
 
 def test_one_request_probes_a_target_after_its_backoff():
-    """Guards against all that come rushing at a target as its rest ends."""
+    """Guards against a burst of requests when a backoff ends."""
     scene = Scene()
     target = scene.add('i-1')
-    receive(scene, target, refused(2.0))
+    receive(scene, target, rejected(2.0))
     assert isinstance(send(scene), Reject)
     scene.clock.advance(2.01)
     assert send(scene) is target
@@ -112,56 +113,56 @@
 
 
 def test_answer_to_an_earlier_request_does_not_end_a_backoff():
-    """Guards against requests that the target took before it was full."""
+    """Guards against late answers to requests from before the backoff."""
     scene = Scene()
     target = scene.add('i-1')
     sent_at = scene.clock.monotonic()
     scene.clock.advance(0.5)
-    receive(scene, target, refused(2.0))
+    receive(scene, target, rejected(2.0))
     receive(scene, target, AnswerHead(200, [], AnswerFacts()), sent_at)
     assert isinstance(send(scene), Reject)
 
 
 def test_shorter_backoff_does_not_replace_a_longer_one():
-    """Guards against refusals that overtake each other."""
+    """Guards against rejections that overtake each other."""
     scene = Scene()
     target = scene.add('i-1')
-    receive(scene, target, refused(3.0))
-    receive(scene, target, refused(0.5))
+    receive(scene, target, rejected(3.0))
+    receive(scene, target, rejected(0.5))
     scene.clock.advance(2.9)
     assert isinstance(send(scene), Reject)
 
 
 def test_all_targets_in_backoff_reject_at_once():
-    """Guards against callers that wait, and retries spent on nothing."""
+    """Guards against callers that wait, and retries that can't succeed."""
     scene = Scene()
     for number, seconds in enumerate((4.0, 2.5, 60.0)):
-        receive(scene, scene.add(f'i-{number}'), refused(seconds))
+        receive(scene, scene.add(f'i-{number}'), rejected(seconds))
     found = [send(scene) for _ in range(20)]
     assert {one.reason for one in found} == {'targets_rest'}
     assert all(2.5 <= one.after_seconds <= 3.5 for one in found)
     assert len({one.after_seconds for one in found}) == len(found)
     scene.clock.advance(5)
-    receive(scene, scene.targets.find('i-0'), refused(50.0))
-    receive(scene, scene.targets.find('i-1'), refused(50.0))
+    receive(scene, scene.targets.find('i-0'), rejected(50.0))
+    receive(scene, scene.targets.find('i-1'), rejected(50.0))
     assert send(scene).after_seconds <= MAX_RETRY_AFTER_SECONDS + 1
 
 
 def test_region_in_backoff_relays_requests():
-    """Guards against callers that another region would serve."""
+    """Guards against rejections of callers that another region can serve."""
     scene = Scene()
-    receive(scene, scene.add('i-1'), refused(3.0))
+    receive(scene, scene.add('i-1'), rejected(3.0))
     scene.receive_report(0.1)
     assert scene.choose(scene.request()).region.name == 'south'
     assert scene.placer.room('model', is_urgent=True) is None
 
 
 def test_request_chosen_before_a_backoff_is_not_sent():
-    """Guards against a request that waited for its connection meanwhile."""
+    """Guards against a request that waits for a connection meanwhile."""
     scene = Scene()
     target = scene.add('i-1')
     send(scene)
-    receive(scene, target, refused(3.0))
+    receive(scene, target, rejected(3.0))
     now = scene.clock.monotonic()
     reason = target.rejection_reason(now + 1, is_counted=False)
     assert reason == 'target_rests'
@@ -169,10 +170,10 @@
 
 
 def test_backoff_outlives_a_lapsed_record_but_not_the_incarnation():
-    """Guards against a resting target that the store's outage makes new."""
+    """Guards against a backoff that is lost in an outage of the store."""
     scene = Scene()
     target = scene.add('i-1', born_ms=1)
-    receive(scene, target, refused(30.0))
+    receive(scene, target, rejected(30.0))
     scene.targets.remove('i-1')
     scene.clock.advance(5)
     assert scene.targets.drop_expired() == [target]
@@ -183,12 +184,12 @@
 
 
 def test_backoff_applies_to_an_incarnation_with_a_late_record():
-    """Guards against a rest that a target loses as its record arrives."""
+    """Guards against a backoff that is lost when the record arrives."""
     scene = Scene()
     scene.add('i-1', born_ms=1)
     born_ms = born_now(scene)
     scene.clock.advance(0.5)
-    receive(scene, scene.targets.find('i-1'), refused(3.0))
+    receive(scene, scene.targets.find('i-1'), rejected(3.0))
     scene.clock.advance(0.5)
     scene.add('i-1', born_ms=born_ms)
     assert isinstance(send(scene), Reject)
@@ -197,7 +198,7 @@
 
 
 def test_backoff_is_not_counted_as_a_failure():
-    """Guards against targets that stay unused long after their rest."""
-    outcome = told_outcome(refused(3.0), is_peer=False)
+    """Guards against targets that stay ejected long after their backoff."""
+    outcome = told_outcome(rejected(3.0), is_peer=False)
     assert outcome.is_pushback
-    assert not told_outcome(refused(None), is_peer=False).is_pushback
+    assert not told_outcome(rejected(None), is_peer=False).is_pushback
--- a/tests/gateway/test_targets_return.py
+++ b/tests/gateway/test_targets_return.py
@@ -1,4 +1,4 @@
-"""Targets that failed for a while and serve again get their share."""
+"""Targets that recover from a failure get their share of requests again."""
 
 import time
 
@@ -12,31 +12,35 @@
 TARGETS = ('i-1', 'i-2', 'i-3', 'i-4')
 FAILING = TARGETS[:3]
 FAILING_SECONDS = 4.0
-# At least half of its fair share so long after its last failure, for the rest
-# of the time.
-BACK_SECONDS = 5.0
-SEEN_SECONDS = 4.0
+# From this time after its last failure on, a target gets at least half of its
+# fair share.
+RECOVERY_SECONDS = 5.0
+MEASURED_SECONDS = 4.0
 CALL_SECONDS = 0.05
 
 
-async def rest(_target, _request, writer):
-    """Refuse and ask for a rest that ends with the failure."""
+async def reject_with_backoff(_target, _request, writer):
+    """Reject with a backoff that ends when the target recovers."""
     headers = [('Not-Executed', '1'), ('Retry-After', '2')]
     writer.write(Reply(503, headers).wire())
     return True
 
 
-KINDS = {'rest': rest, 'refuse': standin.refuse, 'error': standin.fail}
+KINDS = {
+    'rest': reject_with_backoff,
+    'refuse': standin.refuse,
+    'error': standin.fail,
+}
 
 
-class Counted:
-    """Serve, and keep when."""
+class CountingTarget:
+    """Serve requests and record their times."""
 
     def __init__(self):
         self.served = []
 
     async def serve(self, target, request, writer):
-        """Answer after a while."""
+        """Answer after a delay."""
         self.served.append(time.monotonic())
         script = standin.late(CALL_SECONDS, standin.serve_plain)
         return await script(target, request, writer)
@@ -44,24 +48,24 @@
 
 @pytest.mark.parametrize('kind', sorted(KINDS))
 def test_targets_that_serve_again_get_their_share(deployment, kind):
-    """Guards against targets that nobody asks again after they failed."""
+    """Guards against targets that get no requests after they recovered."""
     start(deployment, hosts=4, targets=TARGETS)
-    counted = {name: Counted() for name in TARGETS}
+    targets = {name: CountingTarget() for name in TARGETS}
     with Callers(deployment, '/d/x', count=16, pause_seconds=0.005):
         for name in TARGETS:
-            deployment.targets[name].script = counted[name].serve
+            deployment.targets[name].script = targets[name].serve
         pause(1)
         for name in FAILING:
             deployment.targets[name].script = KINDS[kind]
         pause(FAILING_SECONDS)
         for name in FAILING:
-            deployment.targets[name].script = counted[name].serve
-        pause(BACK_SECONDS)
+            deployment.targets[name].script = targets[name].serve
+        pause(RECOVERY_SECONDS)
         since = time.monotonic()
-        pause(SEEN_SECONDS)
+        pause(MEASURED_SECONDS)
     counts = {
         name: sum(at >= since for at in one.served)
-        for name, one in counted.items()
+        for name, one in targets.items()
     }
     fair = sum(counts.values()) / len(TARGETS)
     assert min(counts.values()) >= fair / 2, counts
--- a/tools/ablations/decisions.py
+++ b/tools/ablations/decisions.py
@@ -6,7 +6,7 @@
 
 DECISIONS = [
     Ablation(
-        'gateway: a target that asked for a rest gets nothing',
+        'gateway: a target in backoff gets no requests',
         [
             (
                 'placement/usable.py',
@@ -23,7 +23,7 @@
         + 'test_target_rest.py::test_host_sends_nothing_during_a_backoff',
     ),
     Ablation(
-        'gateway: one request at a time tries a target after its rest',
+        'gateway: one request at a time probes a target after its backoff',
         [
             (
                 'placement/backoff.py',
@@ -35,7 +35,7 @@
         + 'test_target_rest.py::test_one_request_probes_a_target_after_its_backoff',
     ),
     Ablation(
-        'gateway: a target that said it leaves gets nothing new',
+        'gateway: a target that announced leaving gets no new requests',
         [
             (
                 'placement/target.py',
@@ -47,7 +47,7 @@
         + 'test_leaving_in_answers.py::test_leaving_target_gets_no_requests_while_the_store_is_down',
     ),
     Ablation(
-        'gateway: what a life said outlives its record',
+        'gateway: pushback of an incarnation outlives its record',
         [
             (
                 'placement/targets.py',
@@ -59,7 +59,7 @@
         + 'test_leaving_in_answers.py::test_leaving_outlives_a_lapsed_record_but_not_the_incarnation',
     ),
     Ablation(
-        'gateway: a target that named a limit gets no more',
+        'gateway: a target with a limit gets no more requests than that',
         [
             (
                 'placement/usable.py',
@@ -71,7 +71,7 @@
         + 'test_request_limit.py::test_hosts_together_keep_to_a_target_limit',
     ),
     Ablation(
-        'gateway: a limit is shared and not kept by each host',
+        'gateway: a limit is shared by the hosts and not per host',
         [
             (
                 'placement/limit_shares.py',
@@ -83,7 +83,7 @@
         + 'test_limit_shares.py::test_limit_holds_over_all_hosts_and_is_used',
     ),
     Ablation(
-        'gateway: a limit moves on from hosts without callers',
+        'gateway: a limit rotates away from hosts without callers',
         [
             (
                 'placement/request_limit.py',
@@ -95,7 +95,7 @@
         + 'test_limit_shares.py::test_limit_of_a_holder_without_callers_moves_on',
     ),
     Ablation(
-        'gateway: what was chosen before a limit was heard is chosen again',
+        'gateway: a request placed before a limit was received is placed again',
         [
             (
                 'proxy/delivery.py',
@@ -107,7 +107,7 @@
         + 'test_limit_shares.py::test_gate_before_the_send_asks_the_target',
     ),
     Ablation(
-        'gateway: one host alone paces a cold target',
+        'gateway: only one host sends to a cold target',
         [
             (
                 'placement/pace.py',
@@ -119,7 +119,7 @@
         + 'test_placement.py::test_cold_engine_gets_what_it_tolerates_over_all_hosts',
     ),
     Ablation(
-        'gateway: crashed targets draw no requests',
+        'gateway: crashed targets attract no requests',
         [
             (
                 'placement/usable.py',
@@ -131,7 +131,7 @@
         + 'test_placement.py::test_crashed_targets_don_t_draw_requests_from_other_regions',
     ),
     Ablation(
-        'gateway: a repeat is held to the deadline, not to the aim',
+        'gateway: a retry is limited by the deadline, not by the latency objective',
         [
             (
                 'placement/choice.py',
@@ -143,7 +143,7 @@
         + 'test_placement.py::test_cut_stream_is_placed_again_after_its_aim',
     ),
     Ablation(
-        'gateway: prompts with a shared part stay together',
+        'gateway: prompts with a shared prefix stay together',
         [
             (
                 'placement/limits.py',
@@ -154,7 +154,7 @@
         GATEWAY + 'test_placement.py::test_peak_of_a_region_with_many_hosts',
     ),
     Ablation(
-        'gateway: a busy keeper is copied from',
+        'gateway: a prefix is copied from a busy target',
         [
             (
                 'placement/limits.py',
@@ -165,7 +165,7 @@
         GATEWAY + 'test_placement.py::test_prefix_is_copied_from_a_busy_target',
     ),
     Ablation(
-        'gateway: few share a leading part',
+        'gateway: prompts with a rare leading segment stay together',
         [
             (
                 'placement/affinity.py',
@@ -177,7 +177,7 @@
         + 'test_placement.py::test_rare_leading_segment_keeps_prompts_together',
     ),
     Ablation(
-        'gateway: a target that starts again is known for nothing',
+        'gateway: a restarted target begins with fresh state',
         [
             (
                 'placement/targets.py',
@@ -188,7 +188,7 @@
         GATEWAY + 'test_rebirth.py',
     ),
     Ablation(
-        'gateway: reports name the life they speak of',
+        'gateway: reports name the incarnation that they are about',
         [
             (
                 'placement/targets.py',
@@ -199,7 +199,7 @@
         GATEWAY + 'test_rebirth.py',
     ),
     Ablation(
-        'gateway: engines are learned from their answers',
+        'gateway: the latency model is fitted to answers',
         [
             (
                 'placement/latency_model.py',
@@ -210,7 +210,7 @@
         GATEWAY + 'test_law.py',
     ),
     Ablation(
-        'gateway: newer prompts push kept parts out',
+        'gateway: newer prompts evict cached prefixes',
         [
             (
                 'placement/prefix_cache.py',
@@ -221,7 +221,7 @@
         GATEWAY + 'test_kept.py',
     ),
     Ablation(
-        'gateway: requests on their way count by their reading',
+        'gateway: requests in transit count by their prefill',
         [
             (
                 'placement/regions.py',
@@ -232,7 +232,7 @@
         GATEWAY + 'test_placement.py',
     ),
     Ablation(
-        'gateway: subjects are kept in one region',
+        'gateway: prefixes are cached in one region',
         [
             (
                 'placement/choice.py',
@@ -243,7 +243,7 @@
         GATEWAY + 'test_placement.py',
     ),
     Ablation(
-        'gateway: large free prompts leave room',
+        'gateway: large unbound prompts are relayed',
         [
             (
                 'placement/choice.py',
