--- a/jacinthfold/placement/latency_model.py
+++ b/jacinthfold/placement/latency_model.py
@@ -112,7 +112,7 @@
         weight = 1 / noise**2
         row = (1.0, sample.tokens, sample.pairs)
         terms = [
-            *(row[one] * row[two] for one, two in _upper_triangle()),
+            *(row[first] * row[second] for first, second in _upper_triangle()),
             *(entry * seconds for entry in row),
         ]
         self._own = [
@@ -165,7 +165,8 @@
         for received_at, others in self._peer_sums.values():
             if now - received_at < PEER_SUMS_LIFETIME_SECONDS:
                 sums = [
-                    one + two for one, two in zip(sums, others, strict=True)
+                    first + second
+                    for first, second in zip(sums, others, strict=True)
                 ]
         initial = (
             INITIAL_BASE_SECONDS,
@@ -173,9 +174,9 @@
             INITIAL_SECONDS_PER_PAIR,
         )
         matrix = [[0.0 for _ in initial] for _ in initial]
-        for (one, two), term in zip(_upper_triangle(), sums, strict=False):
-            matrix[one][two] = term
-            matrix[two][one] = term
+        for (first, second), term in zip(_upper_triangle(), sums, strict=False):
+            matrix[first][second] = term
+            matrix[second][first] = term
         right_side = sums[-_COEFFICIENT_COUNT:]
         for row_index, prior in enumerate(PRIOR_DEVIATIONS):
             matrix[row_index][row_index] += 1 / prior**2
@@ -238,9 +239,9 @@
 
 
 def _upper_triangle() -> Iterator[tuple[int, int]]:
-    for one in range(_COEFFICIENT_COUNT):
-        for two in range(one, _COEFFICIENT_COUNT):
-            yield one, two
+    for first in range(_COEFFICIENT_COUNT):
+        for second in range(first, _COEFFICIENT_COUNT):
+            yield first, second
 
 
 def _solve_system(
@@ -252,8 +253,8 @@
         for other in range(row_index + 1, _COEFFICIENT_COUNT):
             share = rows[other][row_index] / pivot[row_index]
             rows[other] = [
-                one - share * two
-                for one, two in zip(rows[other], pivot, strict=True)
+                first - share * second
+                for first, second in zip(rows[other], pivot, strict=True)
             ]
     solution = [0.0 for _ in rows]
     for row_index in reversed(range(_COEFFICIENT_COUNT)):
--- a/jacinthfold/placement/regions.py
+++ b/jacinthfold/placement/regions.py
@@ -138,8 +138,8 @@
         )
         in_transit_seconds = sum(
             seconds
-            for _, region, kind, seconds in self._in_transit
-            if (region, kind) == (name, service)
+            for _, region, relayed_service, seconds in self._in_transit
+            if (region, relayed_service) == (name, service)
         )
         seconds = sum(waits) / len(waits) + in_transit_seconds / max(1, count)
         seconds += limits.REGION_TRIP_SECONDS
--- a/jacinthfold/placement/target.py
+++ b/jacinthfold/placement/target.py
@@ -75,7 +75,7 @@
     def __init__(
         self, record: TargetRecord, pushback: Pushback | None = None
     ) -> None:
-        """Start from a record and earlier pushback of the same incarnation."""
+        """Start from a record and the pushback that is known already."""
         self.record = record
         self.own = Load()
         self.own_prefilled_tokens = 0.0
--- a/tests/gateway/peak.py
+++ b/tests/gateway/peak.py
@@ -14,8 +14,8 @@
 HOSTS = 22
 ENGINES = 15
 PER_SECOND = 60
-SUBJECTS = 319
-SYSTEM_TOKENS, SUBJECT_TOKENS, OWN_TOKENS = 512, 4870, 6610
+SHARED_SEGMENTS = 319
+SYSTEM_TOKENS, SHARED_SEGMENT_TOKENS, OWN_TOKENS = 512, 4870, 6610
 REPORT_EVERY_SECONDS = 0.4
 LATE_SECONDS = 0.9
 
@@ -90,11 +90,13 @@
 
     def _place(self, number, now):
         scene = self.random.choice(self.scenes)
-        request = scene.request(SYSTEM_TOKENS + SUBJECT_TOKENS + OWN_TOKENS)
-        subject = self.random.randrange(SUBJECTS)
+        request = scene.request(
+            SYSTEM_TOKENS + SHARED_SEGMENT_TOKENS + OWN_TOKENS
+        )
+        shared_segment = self.random.randrange(SHARED_SEGMENTS)
         parts = (
-            PromptPart(f'system-{subject % 3}', SYSTEM_TOKENS),
-            PromptPart(f'subject-{subject}', SUBJECT_TOKENS),
+            PromptPart(f'system-{shared_segment % 3}', SYSTEM_TOKENS),
+            PromptPart(f'subject-{shared_segment}', SHARED_SEGMENT_TOKENS),
             PromptPart(f'own-{number}', OWN_TOKENS),
         )
         request.facts.parts = parts
@@ -115,7 +117,7 @@
         pending = request.facts.prompt_tokens - choice.estimate.cached_tokens
         target.own.add(Load(1, pending, request.facts.prompt_tokens))
         self.prefilling.append((ends_at, target, pending))
-        self.shared_tokens += SYSTEM_TOKENS + SUBJECT_TOKENS
+        self.shared_tokens += SYSTEM_TOKENS + SHARED_SEGMENT_TOKENS
         self.reused_tokens += cached
         self.waits.append(ends_at - now)
 
--- a/tests/gateway/test_choice.py
+++ b/tests/gateway/test_choice.py
@@ -53,9 +53,9 @@
     memory = scene.targets.service('model').memory_tokens
     shared = request.facts.shared_chain
     all_sources = [
-        CopySource(one, kept)
+        CopySource(one, cached)
         for one in targets
-        if (kept := one.cached_prefixes.cached_tokens(shared, memory))
+        if (cached := one.cached_prefixes.cached_tokens(shared, memory))
         >= limits.COPY_AT_LEAST_TOKENS
     ]
     distinct_sources = estimator.copy_sources(request, targets)
--- a/tests/gateway/test_herd.py
+++ b/tests/gateway/test_herd.py
@@ -23,7 +23,7 @@
 REPORT_EVERY_SECONDS = 0.3
 
 
-class Desk:
+class SimulatedTarget:
     """Run calls in slots, queue a few more and reject the others."""
 
     def __init__(self, seconds):
@@ -31,7 +31,7 @@
         self.end_times = []
         self.rejected = 0
 
-    def take(self, now):
+    def accept(self, now):
         """Return when a call ends, None if it is rejected."""
         self.end_times = sorted(end for end in self.end_times if end > now)
         if len(self.end_times) >= SLOTS + QUEUE:
@@ -57,7 +57,10 @@
             for instance, seconds in CALL_SECONDS.items():
                 target = scene.add(instance, 'desk', slots=SLOTS)
                 target.seconds_per_call = seconds
-        self.desks = {one: Desk(taken) for one, taken in CALL_SECONDS.items()}
+        self.simulated_targets = {
+            one: SimulatedTarget(seconds)
+            for one, seconds in CALL_SECONDS.items()
+        }
         self.in_flight = []
 
     def run(self, seconds):
@@ -74,7 +77,9 @@
                 reported_at = now
                 self.report(now)
             self.place(now)
-        return calls, sum(desk.rejected for desk in self.desks.values())
+        return calls, sum(
+            simulated.rejected for simulated in self.simulated_targets.values()
+        )
 
     def place(self, now):
         scene = self.random.choice(self.scenes)
@@ -83,7 +88,7 @@
         assert isinstance(choice, SendTo)
         scene.placer.record_sent(choice, request)
         target = choice.estimate.target
-        end = self.desks[target.record.instance].take(now)
+        end = self.simulated_targets[target.record.instance].accept(now)
         if end is not None:
             target.own.add(Load(1))
             self.in_flight.append((end, target))
--- a/tests/gateway/test_law.py
+++ b/tests/gateway/test_law.py
@@ -24,14 +24,16 @@
 ):
     """Return a noisy sample of a mixed load."""
     is_large = random_source.random() < 0.3
-    unread = round(random_source.lognormvariate(8.8 if is_large else 5.7, 0.7))
-    before = random_source.choice((0, 8000)) if is_large else 0
-    waiting = random_source.expovariate(1 / 6000) if has_queue else 0.0
-    pairs = million_pairs(unread, before)
-    seconds = 0.05 + (unread + waiting) / tokens_per_second
+    new_tokens = round(
+        random_source.lognormvariate(8.8 if is_large else 5.7, 0.7)
+    )
+    prefix_tokens = random_source.choice((0, 8000)) if is_large else 0
+    queued_tokens = random_source.expovariate(1 / 6000) if has_queue else 0.0
+    pairs = million_pairs(new_tokens, prefix_tokens)
+    seconds = 0.05 + (new_tokens + queued_tokens) / tokens_per_second
     seconds += pairs * seconds_per_pair
     seconds *= random_source.uniform(0.85, 1.25)
-    return LatencySample(unread + waiting, pairs, seconds)
+    return LatencySample(new_tokens + queued_tokens, pairs, seconds)
 
 
 def trained(count, speed, seed=1, latency_model=None):
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -171,12 +171,12 @@
     assert scene.instance(request) != chosen
 
 
-def prompt(scene, subject, system='system', own='own', tokens=12000):
+def prompt(scene, shared_segment, system='system', own='own', tokens=12000):
     """Return a request with a shared prefix of 6,000 tokens."""
     request = scene.request(tokens=tokens)
     request.facts.parts = (
         PromptPart(system, 500),
-        PromptPart(subject, 5500),
+        PromptPart(shared_segment, 5500),
         PromptPart(own, tokens - 6000),
     )
     return request
@@ -193,9 +193,9 @@
         first.add(f'i-{number}')
         second.add(f'i-{5 - number}')
     for number in range(40):
-        subject = f'subject-{number}'
-        chosen = first.instance(prompt(first, subject))
-        assert second.instance(prompt(second, subject)) == chosen
+        shared_segment = f'subject-{number}'
+        chosen = first.instance(prompt(first, shared_segment))
+        assert second.instance(prompt(second, shared_segment)) == chosen
 
 
 def test_prefix_is_copied_from_a_busy_target():
--- a/tools/ablations/fleet.py
+++ b/tools/ablations/fleet.py
@@ -63,7 +63,7 @@
         COLLECTORS + '::test_data_centres_find_each_other_after_a_cut',
     ),
     Ablation(
-        "collectors: totals of two makers aren't compared",
+        "collectors: totals of two collectors aren't compared",
         [
             (
                 'placement/targets.py',
@@ -86,7 +86,7 @@
         COLLECTORS + '::test_host_of_the_version_before_is_told_all_directly',
     ),
     Ablation(
-        'gateway: plain calls leave a region that makes them wait',
+        'gateway: plain calls are relayed from a region with a queue',
         [
             (
                 'placement/choice.py',
@@ -97,7 +97,7 @@
         CHOICE,
     ),
     Ablation(
-        'gateway: choices are blurred by what neighbours send unheard',
+        'gateway: choices have jitter for the unreported load of other hosts',
         [
             (
                 'placement/choice.py',
@@ -108,7 +108,7 @@
         GATEWAY + 'test_herd.py',
     ),
     Ablation(
-        'gateway: of keepers one of each kind is asked',
+        'gateway: one copy source of each kind is used',
         [
             (
                 'placement/estimates.py',
--- a/tools/ablations/organisations.py
+++ b/tools/ablations/organisations.py
@@ -185,7 +185,7 @@
         ORDER + 'test_requests_that_wait_for_permits_don_t_push_a_cold_engine',
     ),
     Ablation(
-        'cold engines: hosts that have just started keep quiet',
+        'cold engines: hosts that have just started send at a lower rate',
         [('placement/pace.py', 'share *= UNSETTLED_SHARE', 'share *= 1')],
         'tests/gateway/test_placement.py::test_cold_engine_is_safe_when_a_region_starts_again_at_once',
     ),
