--- a/jacinthfold/placement/prefix_cache.py
+++ b/jacinthfold/placement/prefix_cache.py
@@ -34,16 +34,16 @@
         self._counters: dict[str, float] = {}
 
     def cached_tokens(
-        self, chain: Iterable[ChainLink], memory_tokens: int
+        self, prefixes: Iterable[ChainLink], memory_tokens: int
     ) -> int:
         """Return how many leading tokens of a prompt are probably cached."""
         tokens = 0
         oldest = self.prefilled_tokens - memory_tokens * CACHE_SHARE
-        for link in chain:
-            used_at = self._uses.get(link.name)
+        for prefix in prefixes:
+            used_at = self._uses.get(prefix.name)
             if used_at is None or used_at < oldest:
                 break
-            tokens = link.tokens
+            tokens = prefix.tokens
         return tokens
 
     def record_use(self, names: Iterable[str]) -> None:
--- a/jacinthfold/placement/target.py
+++ b/jacinthfold/placement/target.py
@@ -139,12 +139,12 @@
         return total
 
     def record_sent(
-        self, chain: Iterable[ChainLink], tokens_to_prefill: float
+        self, prefixes: Iterable[ChainLink], tokens_to_prefill: float
     ) -> None:
         """Count a prompt that was sent, and its tokens to prefill."""
         self.own_prefilled_tokens += tokens_to_prefill
         self.cached_prefixes.add_prefilled(tokens_to_prefill)
-        self.cached_prefixes.record_use(link.name for link in chain)
+        self.cached_prefixes.record_use(prefix.name for prefix in prefixes)
 
     def record_success(self, seconds: float, expected_seconds: float) -> None:
         """Count a served request, with its actual and expected time."""
