--- a/tools/ablations/fleet.py
+++ b/tools/ablations/fleet.py
@@ -63,12 +63,12 @@
         COLLECTORS + '::test_data_centres_reconnect_after_a_partition',
     ),
     Ablation(
-        "collectors: totals of two makers aren't compared",
+        "collectors: totals of two collectors aren't compared",
         [
             (
                 'placement/targets.py',
-                'is_followed = self._totals_makers.get(reporter) == maker',
-                'is_followed = True',
+                'is_same_source = self._totals_sources.get(reporter) == source',
+                'is_same_source = True',
             ),
         ],
         COLLECTORS + '::test_totals_of_two_collectors_are_not_compared',
@@ -86,7 +86,7 @@
         + '::test_host_without_digest_support_gets_heartbeats_directly',
     ),
     Ablation(
-        'gateway: plain calls leave a region that makes them wait',
+        'gateway: plain calls are relayed from a region with a queue',
         [
             (
                 'placement/choice.py',
@@ -97,7 +97,7 @@
         CHOICE,
     ),
     Ablation(
-        'gateway: choices are blurred by what neighbours send unheard',
+        'gateway: choices have jitter for the unreported load of other hosts',
         [
             (
                 'placement/choice.py',
@@ -108,12 +108,12 @@
         GATEWAY + 'test_herd.py',
     ),
     Ablation(
-        'gateway: of keepers one of each kind is asked',
+        'gateway: one copy source of each kind is used',
         [
             (
                 'placement/estimates.py',
-                'kind = (cached, target.record.data_centre)',
-                "kind = (cached, '')",
+                'key = (cached, target.record.data_centre)',
+                "key = (cached, '')",
             ),
         ],
         CHOICE,
