--- a/jacinthfold/fleet/snapshots.py
+++ b/jacinthfold/fleet/snapshots.py
@@ -14,7 +14,7 @@
 from jacinthfold.clock import Clock
 from jacinthfold.fleet.table import HostTable
 from jacinthfold.transport.errors import ProxyError
-from jacinthfold.transport.http_call import HttpCaller
+from jacinthfold.transport.http_call import PooledHttpClient
 
 SNAPSHOT_PATH = '/snapshot'
 # Another host may be ahead for as long as changes are gathered there; longer
@@ -38,7 +38,7 @@
         self,
         hosts: HostTable,
         catalogue: Catalogue,
-        caller: HttpCaller,
+        caller: PooledHttpClient,
         clock: Clock,
     ) -> None:
         """Take whom to ask and what to bring up to date."""
--- a/jacinthfold/gateway/handlers.py
+++ b/jacinthfold/gateway/handlers.py
@@ -14,7 +14,7 @@
     encode_snapshot,
 )
 from jacinthfold.gateway.adapter import HostCalls
-from jacinthfold.proxy.caller_answer import CallerAnswer, RawRequest
+from jacinthfold.proxy.caller_response import CallerResponse, RawRequest
 from jacinthfold.proxy.metrics import ProxyMetrics
 from jacinthfold.request.messages import Headers
 
@@ -30,14 +30,14 @@
         self._calls = calls
         self._is_ready = is_ready
 
-    async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
+    async def handle(self, request: RawRequest, answer: CallerResponse) -> None:
         """Answer 200 or 503."""
         status = HTTPStatus.NOT_FOUND
         if self._calls.is_ready_call(request.target.decode('latin-1')):
             status = HTTPStatus.SERVICE_UNAVAILABLE
             if self._is_ready():
                 status = HTTPStatus.OK
-        await answer.whole(status, [], b'')
+        await answer.send(status, [], b'')
 
 
 class DirectoryHandler:
@@ -48,20 +48,20 @@
         self._calls = calls
         self._directory = directory
 
-    async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
+    async def handle(self, request: RawRequest, answer: CallerResponse) -> None:
         """Name entry hosts, or 503 when none is known to serve."""
         asked = self._calls.read_directory_call(
             request.target.decode('latin-1')
         )
         if asked is None:
-            await answer.whole(HTTPStatus.NOT_FOUND, [], b'')
+            await answer.send(HTTPStatus.NOT_FOUND, [], b'')
             return
         hosts = self._directory.resolve(*asked)
         if not hosts:
-            await answer.whole(HTTPStatus.SERVICE_UNAVAILABLE, [], b'')
+            await answer.send(HTTPStatus.SERVICE_UNAVAILABLE, [], b'')
             return
         body = self._calls.write_directory_answer(hosts, ANSWER_SECONDS)
-        await answer.whole(HTTPStatus.OK, JSON_HEADERS, body)
+        await answer.send(HTTPStatus.OK, JSON_HEADERS, body)
 
 
 class ControlHandler:
@@ -75,7 +75,7 @@
         self._packed = PackedSnapshots(catalogue)
         self._dump = dump
 
-    async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
+    async def handle(self, request: RawRequest, answer: CallerResponse) -> None:
         """Answer a snapshot or the state."""
         target = request.target.decode('latin-1')
         path = target.partition('?')[0]
@@ -83,15 +83,15 @@
             try:
                 call = SnapshotCall(target)
             except ValueError:
-                await answer.whole(HTTPStatus.BAD_REQUEST, [], b'')
+                await answer.send(HTTPStatus.BAD_REQUEST, [], b'')
                 return
             body = self._snapshot(call)
         elif path == '/state':
             body = json.dumps(self._dump(), indent=1).encode()
         else:
-            await answer.whole(HTTPStatus.NOT_FOUND, [], b'')
+            await answer.send(HTTPStatus.NOT_FOUND, [], b'')
             return
-        await answer.whole(HTTPStatus.OK, JSON_HEADERS, body)
+        await answer.send(HTTPStatus.OK, JSON_HEADERS, body)
 
     def _snapshot(self, call: SnapshotCall) -> bytes:
         if call.is_packed:
@@ -106,8 +106,8 @@
         """Take the metrics."""
         self._metrics = metrics
 
-    async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
+    async def handle(self, request: RawRequest, answer: CallerResponse) -> None:
         """Answer with all metrics as text."""
-        await answer.whole(
+        await answer.send(
             HTTPStatus.OK, TEXT_HEADERS, self._metrics.exposition()
         )
--- a/jacinthfold/gateway/knowledge.py
+++ b/jacinthfold/gateway/knowledge.py
@@ -28,8 +28,8 @@
 from jacinthfold.placement.regions import RegionView
 from jacinthfold.placement.targets import TargetTable
 from jacinthfold.quarantine.quarantine import Quarantine
-from jacinthfold.transport.http_call import HttpCaller
-from jacinthfold.transport.pool import Pool
+from jacinthfold.transport.http_call import PooledHttpClient
+from jacinthfold.transport.pool import ConnectionPool
 
 HOUSEKEEPING_SECONDS = 0.1
 # Who paces cold targets and shares budgets is followed this often: walking
@@ -47,7 +47,7 @@
         own: HostRecord,
         settings: GatewaySettings,
         adapter: Adapter,
-        caller: HttpCaller,
+        caller: PooledHttpClient,
         clock: Clock,
     ) -> None:
         """Put the parts together; nothing is known yet."""
@@ -55,7 +55,7 @@
         self._clock = clock
         self._idle_limits = [CallerLimits().idle_timeout_seconds]
         source = random.Random()
-        self.pool = Pool(clock)
+        self.pool = ConnectionPool(clock)
         self.hosts = HostTable(own, clock)
         self.targets = TargetTable(settings.data_centres, clock)
         self.catalogue = Catalogue(adapter.reader, decode_host, clock)
@@ -163,7 +163,7 @@
             self._become_ready()
             self._follow_hosts_at_times()
             for target in self.targets.forget_gone():
-                self.pool.forget(target.place)
+                self.pool.close_idle(target.place)
                 self.quarantine.witness.forget(target)
                 logs.event('target_gone', target=target.record.instance)
             self._tell_laws()
--- a/jacinthfold/gateway/node.py
+++ b/jacinthfold/gateway/node.py
@@ -24,7 +24,7 @@
 from jacinthfold.proxy.forwarding import Forwarder
 from jacinthfold.proxy.listener import Handler, Listener
 from jacinthfold.proxy.metrics import ProxyMetrics
-from jacinthfold.transport.http_call import HttpCaller
+from jacinthfold.transport.http_call import PooledHttpClient
 
 SETTINGS_CHECK_SECONDS = 2.0
 # Share of the grace after which no connection is accepted any more: callers
@@ -49,7 +49,7 @@
         settings: GatewaySettings,
         settings_path: Path,
         adapter: Adapter,
-        caller: HttpCaller,
+        caller: PooledHttpClient,
         clock: Clock,
     ) -> None:
         """Put the parts together; nothing runs yet."""
@@ -235,7 +235,10 @@
                 return
 
     def _in_service(self) -> int:
-        return self._callers.in_service_count + self._relay.in_service_count
+        return (
+            self._callers.active_request_count
+            + self._relay.active_request_count
+        )
 
 
 async def supervised(duty: Duty) -> None:
--- a/jacinthfold/gateway/request_handlers.py
+++ b/jacinthfold/gateway/request_handlers.py
@@ -7,8 +7,8 @@
 from jacinthfold.clock import Clock
 from jacinthfold.gateway.leaving import Leaving
 from jacinthfold.proxy import relay_header
-from jacinthfold.proxy.admission import STALE_RETURN_SECONDS
-from jacinthfold.proxy.caller_answer import CallerAnswer, RawRequest
+from jacinthfold.proxy.admission import STALE_RETRY_AFTER_SECONDS
+from jacinthfold.proxy.caller_response import CallerResponse, RawRequest
 from jacinthfold.proxy.forwarding import Forwarder
 from jacinthfold.proxy.key_gate import KeyGate
 from jacinthfold.request.messages import Request
@@ -43,7 +43,7 @@
         self._dialect = dialect
         self._clock = clock
 
-    async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
+    async def handle(self, request: RawRequest, answer: CallerResponse) -> None:
         """Find a request's route and have it served."""
         now = self._clock.monotonic()
         headers = relay_header.without_internal(request.headers)
@@ -51,25 +51,25 @@
             facts = self._dialect.read_request(headers)
         except ValueError as error:
             logs.warning('request_malformed', status=400, reason=str(error))
-            await answer.whole(HTTPStatus.BAD_REQUEST, [], b'')
+            await answer.send(HTTPStatus.BAD_REQUEST, [], b'')
             return
         work = Request(
             request.method, request.target, headers, request.body, facts
         )
         work.received_at = now
-        own = self._dialect.own_headers(facts.request_id)
+        own = self._dialect.gateway_headers(facts.request_id)
         table = self._catalogue.routes
         if table is None:
             self._log_unrouted(work, HTTPStatus.SERVICE_UNAVAILABLE, 0)
             retry = self._dialect.retry_headers(NOT_READY_SECONDS)
-            await answer.whole(
+            await answer.send(
                 HTTPStatus.SERVICE_UNAVAILABLE, [*own, *retry], b''
             )
             return
         route = table.find(facts.host_name, work.path)
         if route is None:
             self._log_unrouted(work, HTTPStatus.NOT_FOUND, table.version)
-            await answer.whole(HTTPStatus.NOT_FOUND, own, b'')
+            await answer.send(HTTPStatus.NOT_FOUND, own, b'')
             return
         work.route = route
         if len(table.organisations):
@@ -79,8 +79,8 @@
                 return
         work.service_name = route.service_for(facts.request_id)
         patience = route.timeout_seconds
-        if facts.patience_seconds is not None:
-            patience = min(patience, facts.patience_seconds)
+        if facts.caller_timeout_seconds is not None:
+            patience = min(patience, facts.caller_timeout_seconds)
         work.deadline = now + patience
         if not self._leaving.may_take(work):
             await _refuse_leaving(work, self._dialect, answer)
@@ -106,7 +106,7 @@
         return HTTPStatus.OK
 
     async def _turn_away(
-        self, work: Request, status: HTTPStatus, answer: CallerAnswer
+        self, work: Request, status: HTTPStatus, answer: CallerResponse
     ) -> None:
         logs.event(
             'request_not_identified',
@@ -114,12 +114,12 @@
             status=int(status),
             knowledge_age_seconds=self._gate.age_seconds,
         )
-        headers = self._dialect.own_headers(work.facts.request_id)
+        headers = self._dialect.gateway_headers(work.facts.request_id)
         if status is HTTPStatus.UNAUTHORIZED:
             headers.append(CHALLENGE)
         else:
-            headers += self._dialect.retry_headers(STALE_RETURN_SECONDS)
-        await answer.whole(status, headers, b'')
+            headers += self._dialect.retry_headers(STALE_RETRY_AFTER_SECONDS)
+        await answer.send(status, headers, b'')
 
     def _log_unrouted(self, work: Request, status: int, version: int) -> None:
         logs.event(
@@ -150,7 +150,7 @@
         self._dialect = dialect
         self._clock = clock
 
-    async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
+    async def handle(self, request: RawRequest, answer: CallerResponse) -> None:
         """Serve a request under the route that came with it."""
         try:
             facts = self._dialect.read_request(request.headers)
@@ -164,7 +164,7 @@
             caller = relay_header.read(work, self._clock.monotonic())
         except (ValueError, KeyError) as error:
             logs.warning('relay_malformed', reason=repr(error))
-            await answer.whole(HTTPStatus.BAD_REQUEST, [], b'')
+            await answer.send(HTTPStatus.BAD_REQUEST, [], b'')
             return
         work.headers = relay_header.without_internal(work.headers)
         if caller:
@@ -181,7 +181,7 @@
 
 
 async def _refuse_leaving(
-    work: Request, dialect: Dialect, answer: CallerAnswer
+    work: Request, dialect: Dialect, answer: CallerResponse
 ) -> None:
     """Send a caller to another host."""
     logs.event('request_refused_leaving', request=work.facts.request_id)
@@ -189,7 +189,7 @@
 
 
 async def _refuse_relayed(
-    work: Request, dialect: Dialect, answer: CallerAnswer
+    work: Request, dialect: Dialect, answer: CallerResponse
 ) -> None:
     """Tell another host that nobody is known here for whom it asks."""
     logs.event('request_refused_unknown', request=work.facts.request_id)
@@ -197,10 +197,10 @@
 
 
 async def _refuse(
-    work: Request, dialect: Dialect, answer: CallerAnswer
+    work: Request, dialect: Dialect, answer: CallerResponse
 ) -> None:
-    headers = dialect.own_headers(work.facts.request_id)
+    headers = dialect.gateway_headers(work.facts.request_id)
     headers += dialect.retry_headers(OTHER_HOST_SECONDS)
     if work.is_relayed:
-        headers += relay_header.told(relay_header.TOLD_NOT_RUN)
-    await answer.whole(HTTPStatus.SERVICE_UNAVAILABLE, headers, b'')
+        headers += relay_header.outcome_header(relay_header.OUTCOME_NOT_RUN)
+    await answer.send(HTTPStatus.SERVICE_UNAVAILABLE, headers, b'')
--- a/jacinthfold/placement/affinity.py
+++ b/jacinthfold/placement/affinity.py
@@ -10,7 +10,7 @@
 
 from jacinthfold.hashing import rank
 from jacinthfold.placement import limits
-from jacinthfold.request.messages import PromptPart
+from jacinthfold.request.messages import PrefixSegment
 
 
 class _Recent:
@@ -48,8 +48,8 @@
         self._recent: dict[str, _Recent] = {}
 
     def shared_parts(
-        self, route_name: str, parts: tuple[PromptPart, ...], targets: int
-    ) -> tuple[PromptPart, ...]:
+        self, route_name: str, parts: tuple[PrefixSegment, ...], targets: int
+    ) -> tuple[PrefixSegment, ...]:
         """Return the leading parts by which requests are kept together."""
         # The last part belongs to the request alone.
         shared = parts[:-1]
@@ -66,7 +66,7 @@
 
 
 def in_order(
-    shared: Iterable[PromptPart], instances: Iterable[str]
+    shared: Iterable[PrefixSegment], instances: Iterable[str]
 ) -> list[str]:
     """Return instances, the one that is to keep the shared parts first."""
     last = tuple(shared)[-1]
--- a/jacinthfold/placement/choice.py
+++ b/jacinthfold/placement/choice.py
@@ -85,8 +85,8 @@
         self._herd.note_sent(request.service_name, now)
         estimate = choice.estimate
         estimate.is_counted = self._usable.note_sent(target, now)
-        target.note_sent(request.facts.chain, estimate.unread_tokens)
-        shared = request.facts.shared_chain
+        target.note_sent(request.facts.prefixes, estimate.unread_tokens)
+        shared = request.facts.shared_prefixes
         if shared and shared[-1].tokens >= limits.COPY_AT_LEAST_TOKENS:
             uses = self._targets.recent_uses
             uses.note(target.record.life, shared[-1].name, now)
@@ -143,7 +143,7 @@
         # queues are short, and what another region could serve is lost.
         if not self._targets.service(request.service_name).is_engine:
             return True
-        if request.is_bound:
+        if request.has_residency:
             return False
         law = self._estimator.law(request.service_name)
         return law.reading_seconds(best.work) >= limits.LARGE_SECONDS
@@ -152,7 +152,7 @@
         self, request: Request, best: Estimate | None
     ) -> RemoteRegion | None:
         """Return the region whose target keeps the shared parts, if any."""
-        shared = request.facts.shared_chain
+        shared = request.facts.shared_prefixes
         if request.is_relayed or not shared:
             return None
         tokens = shared[-1].tokens
@@ -173,7 +173,7 @@
     def _ordered(self, request: Request, usable: list[Target]) -> list[Target]:
         """Return targets, the shared parts' own one first."""
         shared = self._affinity.shared_parts(
-            request.route.name, request.facts.parts, len(usable)
+            request.route.name, request.facts.prefix_segments, len(usable)
         )
         if not shared:
             return usable
@@ -185,7 +185,7 @@
     ) -> bool:
         """Tell whether a request stays with the target of its shared parts."""
         is_failing = estimate.target.failing_share > limits.KEEPER_FAILING_SHARE
-        if is_failing or not request.facts.parts:
+        if is_failing or not request.facts.prefix_segments:
             return False
         elapsed = now - request.received_at
         aim = request.route.aim_seconds
--- a/jacinthfold/placement/estimates.py
+++ b/jacinthfold/placement/estimates.py
@@ -98,7 +98,7 @@
         wait = self.wait(target, now, is_urgent=request.is_urgent)
         if not service.is_engine:
             return Estimate(target, wait, target.seconds_per_call)
-        kept = target.kept.tokens(request.facts.chain, service.memory_tokens)
+        kept = target.kept.tokens(request.facts.prefixes, service.memory_tokens)
         return self._reading(request, target, wait, kept)
 
     def keepers(
@@ -110,7 +110,7 @@
         # one is enough. With 23 engines a choice took 529 comparisons, and
         # takes 92 at most this way.
         service = self._targets.service(request.service_name)
-        shared = request.facts.shared_chain
+        shared = request.facts.shared_prefixes
         if service.copy_seconds_per_token is None or not shared:
             return []
         if shared[-1].tokens < limits.COPY_AT_LEAST_TOKENS:
--- a/jacinthfold/placement/keeping.py
+++ b/jacinthfold/placement/keeping.py
@@ -24,7 +24,7 @@
 
     def regions(self, request: Request, now: float) -> list[str]:
         """Return allowed regions, the one that is to keep the parts first."""
-        shared = request.facts.parts[:-1]
+        shared = request.facts.prefix_segments[:-1]
         by_instance = {
             target.record.instance: self._targets.region_of(
                 target.record.data_centre
--- a/jacinthfold/placement/kept.py
+++ b/jacinthfold/placement/kept.py
@@ -10,7 +10,7 @@
 from collections import OrderedDict
 from collections.abc import Iterable
 
-from jacinthfold.request.messages import ChainLink
+from jacinthfold.request.messages import PromptPrefix
 
 # Share of a target's memory that may fill up with newer prompts before a part
 # counts as dropped: the rest is held by running requests, which come first.
@@ -33,7 +33,7 @@
         self._uses: OrderedDict[str, float] = OrderedDict()
         self._counters: dict[str, float] = {}
 
-    def tokens(self, chain: Iterable[ChainLink], memory_tokens: int) -> int:
+    def tokens(self, chain: Iterable[PromptPrefix], memory_tokens: int) -> int:
         """Return how many leading tokens of a prompt are probably kept."""
         tokens = 0
         oldest = self.read_tokens - memory_tokens * KEPT_SHARE
--- a/jacinthfold/placement/pushback.py
+++ b/jacinthfold/placement/pushback.py
@@ -6,7 +6,7 @@
 from jacinthfold import logs
 from jacinthfold.placement.request_limit import RequestLimit
 from jacinthfold.placement.rest import Rest
-from jacinthfold.request.messages import AnswerHead
+from jacinthfold.request.messages import ResponseHead
 
 # Lives whose records are gone; the oldest are dropped first.
 LIVES_KEPT = 4096
@@ -33,18 +33,20 @@
         self.limit = RequestLimit(instance)
         self.rest = Rest(instance)
 
-    def note_answer(self, head: AnswerHead, sent_at: float, now: float) -> None:
+    def note_answer(
+        self, head: ResponseHead, sent_at: float, now: float
+    ) -> None:
         """Take the head of an answer to a request that was sent at a time."""
         if head.status == HTTPStatus.MISDIRECTED_REQUEST:
             # Another target has the address now.
             return
         facts = head.facts
-        self._log_unreadable(facts.unreadable)
+        self._log_unreadable(facts.invalid_headers)
         if facts.is_leaving and self.leaving_since is None:
             self.leaving_since = now
             logs.event('target_leaving', target=self._instance, source='answer')
-        if facts.rest_seconds is not None:
-            self.rest.note_refused(facts.rest_seconds, now)
+        if facts.backoff_seconds is not None:
+            self.rest.note_refused(facts.backoff_seconds, now)
         elif head.status != HTTPStatus.SERVICE_UNAVAILABLE:
             self.rest.note_taken(sent_at)
         # What fails may come from a process that no longer says what it needs.
--- a/jacinthfold/placement/target.py
+++ b/jacinthfold/placement/target.py
@@ -7,7 +7,7 @@
 from jacinthfold.placement import limits
 from jacinthfold.placement.kept import KeptParts
 from jacinthfold.placement.pushback import Pushback
-from jacinthfold.request.messages import ChainLink
+from jacinthfold.request.messages import PromptPrefix
 
 # Weight of the newest answer, and the seconds that are expected and taken
 # before the first one: three answers of an idle engine.
@@ -134,7 +134,7 @@
                 total.add(load)
         return total
 
-    def note_sent(self, chain: Iterable[ChainLink], unread: float) -> None:
+    def note_sent(self, chain: Iterable[PromptPrefix], unread: float) -> None:
         """Take that a prompt was sent, of which so much will be read."""
         self.own_read_tokens += unread
         self.kept.note_read(unread)
--- a/jacinthfold/platform/dialect.py
+++ b/jacinthfold/platform/dialect.py
@@ -5,11 +5,11 @@
 
 from jacinthfold.organisations.credentials import bearer_digest
 from jacinthfold.request.messages import (
-    AnswerFacts,
     Headers,
-    PromptPart,
+    PrefixSegment,
     Request,
     RequestFacts,
+    ResponseFacts,
     first_header,
     without_framing,
 )
@@ -76,19 +76,19 @@
         facts.key_digest = bearer_digest(_all(headers, CREDENTIALS))
         deadline_ms = _text(headers, DEADLINE)
         if deadline_ms:
-            facts.patience_seconds = float(deadline_ms) / _MS
+            facts.caller_timeout_seconds = float(deadline_ms) / _MS
         tokens = _text(headers, TOKENS)
         if tokens:
             prompt, _, output = tokens.partition(',')
             facts.prompt_tokens = _tokens(prompt)
             facts.output_tokens = _tokens(output)
-        facts.parts = _parts(_text(headers, PROMPT_PARTS))
+        facts.prefix_segments = _parts(_text(headers, PROMPT_PARTS))
         facts.last_event_id = _text(headers, LAST_EVENT_ID)
         return facts
 
-    def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
+    def read_response(self, status: int, headers: Headers) -> ResponseFacts:
         """Return what an answer's headers say."""
-        facts = AnswerFacts()
+        facts = ResponseFacts()
         facts.request_id = _text(headers, REQUEST_ID)
         facts.is_not_run = bool(first_header(headers, NOT_RUN.lower()))
         facts.is_sealed = bool(first_header(headers, SEAL.lower()))
@@ -97,7 +97,7 @@
         facts.cold_seconds = float(cold_ms) / _MS if cold_ms else None
         facts.is_leaving = _is_leaving(headers, facts)
         if status == HTTPStatus.SERVICE_UNAVAILABLE:
-            facts.rest_seconds = _rest_seconds(headers, facts)
+            facts.backoff_seconds = _rest_seconds(headers, facts)
         facts.limit_per_second = _limit_per_second(headers, facts)
         return facts
 
@@ -106,7 +106,7 @@
         request: Request,
         *,
         instance: str,
-        left_seconds: float,
+        remaining_seconds: float,
         last_event_id: str,
     ) -> Headers:
         """Return headers for a target, without framing."""
@@ -115,7 +115,7 @@
             for name, content in without_framing(request.headers)
             if name.lower() not in REPLACED_HEADERS
         ]
-        left_ms = max(1, int(left_seconds * _MS))
+        left_ms = max(1, int(remaining_seconds * _MS))
         headers.append((DEADLINE, str(left_ms).encode()))
         if last_event_id:
             headers.append((LAST_EVENT_ID, last_event_id.encode()))
@@ -136,12 +136,12 @@
             if name.lower() not in CREDENTIAL_HEADERS
         ]
 
-    def copy_headers(self, address: tuple[str, int]) -> Headers:
+    def prefix_copy_headers(self, address: tuple[str, int]) -> Headers:
         """Return headers that have a target copy what another has read."""
         host, port = address
         return [(COPY_FROM, f'{host}:{port}'.encode())]
 
-    def own_headers(self, request_id: str) -> Headers:
+    def gateway_headers(self, request_id: str) -> Headers:
         """Return headers that every answer of our own carries."""
         if not request_id:
             return []
@@ -161,16 +161,16 @@
     return [content for found, content in headers if found.lower() == lowered]
 
 
-def _parts(content: str) -> tuple[PromptPart, ...]:
+def _parts(content: str) -> tuple[PrefixSegment, ...]:
     parts = []
     for entry in content.split(','):
         name, _, tokens = entry.strip().partition(':')
         if name:
-            parts.append(PromptPart(name, _tokens(tokens)))
+            parts.append(PrefixSegment(name, _tokens(tokens)))
     return tuple(parts)
 
 
-def _is_leaving(headers: Headers, facts: AnswerFacts) -> bool:
+def _is_leaving(headers: Headers, facts: ResponseFacts) -> bool:
     told = False
     for content in _all(headers, LEAVING):
         if content.strip() == b'1':
@@ -180,7 +180,7 @@
     return told
 
 
-def _rest_seconds(headers: Headers, facts: AnswerFacts) -> float | None:
+def _rest_seconds(headers: Headers, facts: ResponseFacts) -> float | None:
     named = []
     for content in _all(headers, RETRY_AFTER):
         seconds = _number(content)
@@ -191,7 +191,7 @@
     return max(named, default=0.0) or None
 
 
-def _limit_per_second(headers: Headers, facts: AnswerFacts) -> float | None:
+def _limit_per_second(headers: Headers, facts: ResponseFacts) -> float | None:
     named = []
     for content in _all(headers, LIMIT):
         per_second = _number(content)
@@ -209,9 +209,9 @@
     return float(text)
 
 
-def _note_unreadable(facts: AnswerFacts, name: bytes, content: bytes) -> None:
+def _note_unreadable(facts: ResponseFacts, name: bytes, content: bytes) -> None:
     shown = content[:SHOWN_CHARACTERS].decode('latin-1')
-    facts.unreadable[name.decode()] = shown
+    facts.invalid_headers[name.decode()] = shown
 
 
 def _tokens(content: str) -> int:
--- a/jacinthfold/platform/program.py
+++ b/jacinthfold/platform/program.py
@@ -12,7 +12,7 @@
 from jacinthfold.platform.dialect import PlatformDialect
 from jacinthfold.platform.documents import PlatformReader
 from jacinthfold.platform.store import PlatformStore
-from jacinthfold.transport.http_call import HttpCaller
+from jacinthfold.transport.http_call import PooledHttpClient
 
 # A reader that stands still must not hold up the end of the process.
 FLUSH_SECONDS = 0.2
@@ -32,7 +32,7 @@
     settings: gateway_settings.GatewaySettings, path: Path
 ) -> None:
     clock = SystemClock()
-    caller = HttpCaller(clock)
+    caller = PooledHttpClient(clock)
     adapter = Adapter(
         PlatformStore(settings.store.address, caller),
         PlatformReader(),
--- a/jacinthfold/platform/store.py
+++ b/jacinthfold/platform/store.py
@@ -22,7 +22,7 @@
     ROUTES_KEY,
 )
 from jacinthfold.transport.errors import ProxyError
-from jacinthfold.transport.http_call import CallAnswer, HttpCaller
+from jacinthfold.transport.http_call import CallResponse, PooledHttpClient
 
 # The store answers in 4 ms; a slow one takes some hundred.
 CALL_SECONDS = 1.5
@@ -35,7 +35,9 @@
 class PlatformStore:
     """List, follow and write the platform's metadata."""
 
-    def __init__(self, address: tuple[str, int], caller: HttpCaller) -> None:
+    def __init__(
+        self, address: tuple[str, int], caller: PooledHttpClient
+    ) -> None:
         """Take where the store is and who makes the calls."""
         self._address = address
         self._caller = caller
@@ -162,7 +164,7 @@
     return {'key': key, 'value': encoded, 'lease': lease}
 
 
-def _document(answer: CallAnswer, target: str) -> Any:
+def _document(answer: CallResponse, target: str) -> Any:
     call = target.partition('?')[0]
     if answer.status == HTTPStatus.GONE:
         raise MetadataHistoryLostError(call)
--- a/jacinthfold/proxy/attempts.py
+++ b/jacinthfold/proxy/attempts.py
@@ -12,31 +12,31 @@
 from jacinthfold.placement.law import Answer
 from jacinthfold.placement.regions import RegionView, RemoteRegion
 from jacinthfold.placement.target import Target
-from jacinthfold.proxy import relay_header, unread
-from jacinthfold.proxy.caller_answer import CallerAnswer
+from jacinthfold.proxy import in_flight_load, relay_header
+from jacinthfold.proxy.caller_response import CallerResponse
 from jacinthfold.proxy.delivery import Delivery
 from jacinthfold.proxy.metrics import ProxyMetrics
-from jacinthfold.proxy.outcome import Ending, Outcome, told_outcome
-from jacinthfold.proxy.patience import Patience
+from jacinthfold.proxy.outcome import Ending, Outcome, outcome_from_head
 from jacinthfold.proxy.progress import Progress
+from jacinthfold.proxy.response_timeout import ResponseTimeout
 from jacinthfold.quarantine.witness import Witness
 from jacinthfold.request.messages import Headers, Request
 from jacinthfold.transport.dialect import Dialect
 from jacinthfold.transport.errors import ConnectFailedError, ProxyError
 from jacinthfold.transport.exchange import Exchange
-from jacinthfold.transport.pool import Place, Pool
+from jacinthfold.transport.pool import ConnectionPool, Endpoint
 
 # Targets are in the same region, under 1 ms away: three lost packets' worth.
-CONNECT_SECONDS = 0.4
+CONNECT_TIMEOUT_SECONDS = 0.4
 # Other regions are 110 ms there and back.
-REGION_CONNECT_SECONDS = 0.7
+REGION_CONNECT_TIMEOUT_SECONDS = 0.7
 # Repeatable requests are taken away from a target that says nothing for
 # this many times the aim, while the caller still has time for another.
-SILENCE_AIMS = 1.5
-SILENCE_AT_LEAST_SECONDS = 0.8
+SOFT_TIMEOUT_FACTOR = 1.5
+MIN_SOFT_TIMEOUT_SECONDS = 0.8
 # The same for a target that answers others meanwhile: callers leave a stream
 # without an event after four aims, and the last one is left for another try.
-HANG_AIMS = 3.0
+HARD_TIMEOUT_FACTOR = 3.0
 
 
 class RegionHosts(Protocol):
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        pool: Pool,
+        pool: ConnectionPool,
         hosts: RegionHosts,
         regions: RegionView,
         budgets: RetryBudgets,
@@ -74,10 +74,10 @@
         self._clock = clock
         self._random = random.Random()
 
-    async def at_target(
+    async def send_to_target(
         self,
         request: Request,
-        answer: CallerAnswer,
+        response: CallerResponse,
         progress: Progress,
         estimate: Estimate,
     ) -> Outcome:
@@ -86,45 +86,51 @@
         headers = self._dialect.target_headers(
             request,
             instance=target.record.instance,
-            left_seconds=request.deadline - self._clock.monotonic(),
+            remaining_seconds=request.deadline - self._clock.monotonic(),
             last_event_id=progress.last_event_id,
         )
         headers = relay_header.without_internal(headers)
         if estimate.keeper is not None:
             place = estimate.keeper.record.address
-            headers.extend(self._dialect.copy_headers(place))
-        patience = self._patience(request, progress, lambda: target.heard_at)
-        delivery = Delivery(request, answer, progress, patience, self._clock)
+            headers.extend(self._dialect.prefix_copy_headers(place))
+        timeout = self._response_timeout(
+            request, progress, lambda: target.heard_at
+        )
+        delivery = Delivery(request, response, progress, timeout, self._clock)
         attempt = self._witness.begin(request, target, delivery.withdraw)
-        delivery.on_heard = partial(attempt.note_heard, self._clock)
+        delivery.on_activity = partial(attempt.note_heard, self._clock)
         began_at = self._clock.monotonic()
-        prompt = unread.UnreadPrompt(estimate, request)
-        delivery.on_first_event = prompt.note_read
-        delivery.target_barrier = lambda: target.barrier_reason(
+        load = in_flight_load.InFlightLoad(estimate, request)
+        delivery.on_first_event = load.record_prefilled
+        delivery.target_rejection = lambda: target.barrier_reason(
             self._clock.monotonic(), is_counted=estimate.is_counted
         )
         delivery.on_head = lambda head: target.pushback.note_answer(
             head, began_at, self._clock.monotonic()
         )
         try:
-            outcome = await self._exchange(
-                target.place, CONNECT_SECONDS, request, headers, delivery
+            outcome = await self._connect_and_send(
+                target.place,
+                CONNECT_TIMEOUT_SECONDS,
+                request,
+                headers,
+                delivery,
             )
         finally:
-            prompt.release()
+            load.release()
             self._witness.note_over(
                 attempt,
                 delivery.first_event_at,
                 is_broken=delivery.is_broken,
             )
-        self._learn(target, outcome, delivery, began_at, estimate)
+        self._update_target(target, outcome, delivery, began_at, estimate)
         self._count(request, outcome)
         return outcome
 
-    async def at_region(
+    async def relay_to_region(
         self,
         request: Request,
-        answer: CallerAnswer,
+        response: CallerResponse,
         progress: Progress,
         region: RemoteRegion,
     ) -> Outcome:
@@ -137,7 +143,7 @@
         headers = self._dialect.target_headers(
             request,
             instance='',
-            left_seconds=request.deadline - now,
+            remaining_seconds=request.deadline - now,
             last_event_id=progress.last_event_id,
         )
         headers = relay_header.without_internal(headers)
@@ -146,17 +152,17 @@
                 request,
                 request.deadline - now,
                 now - request.received_at,
-                is_paid=progress.permit is not None,
+                has_permit=progress.permit is not None,
             )
         )
-        patience = self._patience(
+        timeout = self._response_timeout(
             request, progress, lambda: self._hosts.heard_at(host.name)
         )
-        delivery = Delivery(request, answer, progress, patience, self._clock)
-        delivery.is_at_peer = True
-        place = (host.address, host.relay_port, host.name)
-        outcome = await self._exchange(
-            place, REGION_CONNECT_SECONDS, request, headers, delivery
+        delivery = Delivery(request, response, progress, timeout, self._clock)
+        delivery.is_peer = True
+        endpoint = (host.address, host.relay_port, host.name)
+        outcome = await self._connect_and_send(
+            endpoint, REGION_CONNECT_TIMEOUT_SECONDS, request, headers, delivery
         )
         self._count(request, outcome)
         return outcome
@@ -170,32 +176,37 @@
         ]
         return self._random.choice(found) if found else None
 
-    def _patience(
+    def _response_timeout(
         self,
         request: Request,
         progress: Progress,
-        last_heard: Callable[[], float],
-    ) -> Patience:
-        aim = request.route.aim_seconds
-        silence = max(SILENCE_AIMS * aim, SILENCE_AT_LEAST_SECONDS)
-        hang = max(HANG_AIMS * aim, 2 * SILENCE_AT_LEAST_SECONDS)
-        is_once = request.route.repetition is Repetition.NEVER
-        return Patience(
-            None if is_once else silence,
-            hang,
-            last_heard,
-            lambda: self._may_leave(request, progress),
+        last_activity_at: Callable[[], float],
+    ) -> ResponseTimeout:
+        objective_seconds = request.route.aim_seconds
+        soft_seconds = max(
+            SOFT_TIMEOUT_FACTOR * objective_seconds, MIN_SOFT_TIMEOUT_SECONDS
+        )
+        hard_seconds = max(
+            HARD_TIMEOUT_FACTOR * objective_seconds,
+            2 * MIN_SOFT_TIMEOUT_SECONDS,
+        )
+        is_unrepeatable = request.route.repetition is Repetition.NEVER
+        return ResponseTimeout(
+            None if is_unrepeatable else soft_seconds,
+            hard_seconds,
+            last_activity_at,
+            lambda: self._may_fail_over(request, progress),
             self._clock,
         )
 
-    def _may_leave(self, request: Request, progress: Progress) -> bool:
+    def _may_fail_over(self, request: Request, progress: Progress) -> bool:
         if progress.runs + 1 >= request.route.max_attempts:
             return False
         return self._budgets.has_room(request.service_name)
 
-    async def _exchange(
+    async def _connect_and_send(
         self,
-        place: Place,
+        endpoint: Endpoint,
         connect_seconds: float,
         request: Request,
         headers: Headers,
@@ -203,36 +214,38 @@
     ) -> Outcome:
         must_be_fresh = request.route.repetition is Repetition.NEVER
         try:
-            channel = await self._pool.take(
-                place, connect_seconds, must_be_fresh=must_be_fresh
+            channel = await self._pool.acquire(
+                endpoint, connect_seconds, must_be_fresh=must_be_fresh
             )
         except ConnectFailedError as error:
             return Outcome(Ending.NOT_RUN, f'unreachable: {error}')
         exchange = Exchange(channel, self._dialect)
         delivery.channel = channel
         try:
-            return await self._carry(exchange, request, headers, delivery)
+            return await self._send_and_deliver(
+                exchange, request, headers, delivery
+            )
         except ProxyError as error:
-            return delivery.broken(error)
+            return delivery.broken_outcome(error)
         except TimeoutError:
-            return delivery.broken(ProxyError('silent'))
+            return delivery.broken_outcome(ProxyError('silent'))
         finally:
-            self._release(place, exchange)
+            self._release(endpoint, exchange)
 
-    async def _carry(
+    async def _send_and_deliver(
         self,
         exchange: Exchange,
         request: Request,
         headers: Headers,
         delivery: Delivery,
     ) -> Outcome:
-        reason = delivery.barrier_reason
+        reason = delivery.rejection_reason
         if reason:
             # The wait for a connection may have been long.
-            return Outcome(Ending.NOT_RUN, reason, is_barred=True)
+            return Outcome(Ending.NOT_RUN, reason, is_rejected_locally=True)
         # From here on nobody can say that the request has not run, whatever
         # ends this attempt: a deadline or the caller's leaving too.
-        delivery.note_leaves()
+        delivery.mark_in_flight()
         await exchange.send(
             request.method,
             request.target,
@@ -240,18 +253,20 @@
             request.body,
             request.facts.request_id,
         )
-        head = await delivery.head_of(exchange)
-        outcome = told_outcome(head, is_peer=delivery.is_at_peer)
+        head = await delivery.read_head(exchange)
+        outcome = outcome_from_head(head, is_peer=delivery.is_peer)
         if outcome is None:
             return await delivery.deliver(exchange, head)
-        await exchange.whole(delivery.limit_bytes)
+        await exchange.read_body(delivery.limit_bytes)
         return outcome
 
-    def _release(self, place: Place, exchange: Exchange) -> None:
+    def _release(self, endpoint: Endpoint, exchange: Exchange) -> None:
         # A connection whose request was given up on may still bring its
         # answer; nobody else may be given that.
         if exchange.may_reuse():
-            self._pool.give_back(place, exchange.channel, exchange.idle_seconds)
+            self._pool.release(
+                endpoint, exchange.channel, exchange.idle_seconds
+            )
         else:
             exchange.channel.abort()
 
@@ -259,7 +274,7 @@
         service, ending = request.service_name, outcome.ending.value
         self._metrics.attempts.labels(service, ending).inc()
 
-    def _learn(
+    def _update_target(
         self,
         target: Target,
         outcome: Outcome,
@@ -275,32 +290,34 @@
             self._metrics.first_event_seconds.labels(service).observe(seconds)
             target.note_success(seconds, estimate.seconds)
             if delivery.first_event_at:
-                self._learn_law(estimate, seconds, now)
-                self._learn_hold(estimate, now - first_at)
+                self._update_latency_model(estimate, seconds, now)
+                self._record_hold_time(estimate, now - first_at)
             else:
                 target.seconds_per_call += 0.1 * (
                     seconds - target.seconds_per_call
                 )
             return
-        if outcome.is_barred or outcome.is_pushback:
+        if outcome.is_rejected_locally or outcome.is_pushback:
             return
         if outcome.reason == 'wrong_instance':
             target.follow_record(now)
         is_unreachable = outcome.reason.startswith('unreachable')
         target.note_failure(now, is_unreachable=is_unreachable)
 
-    def _learn_law(
+    def _update_latency_model(
         self, estimate: Estimate, seconds: float, now: float
     ) -> None:
         target = estimate.target
         if target.cold_until > now or estimate.keeper is not None:
             return
         tokens = estimate.ahead + estimate.unread_tokens
-        answer = Answer(
+        sample = Answer(
             tokens, estimate.pairs, seconds - estimate.running_seconds
         )
-        self._regions.laws.of(target.record.service).note(answer, now)
+        self._regions.laws.of(target.record.service).note(sample, now)
 
-    def _learn_hold(self, estimate: Estimate, streamed_seconds: float) -> None:
+    def _record_hold_time(
+        self, estimate: Estimate, streamed_seconds: float
+    ) -> None:
         law = self._regions.laws.of(estimate.target.record.service)
         law.note_hold(streamed_seconds + law.reading_seconds(estimate.work))
--- a/jacinthfold/proxy/caller_answer.py
+++ b/jacinthfold/proxy/caller_response.py
@@ -4,7 +4,7 @@
 
 from jacinthfold.request.messages import Headers
 from jacinthfold.transport.channel import Channel
-from jacinthfold.transport.errors import ConnectionCutError
+from jacinthfold.transport.errors import ConnectionLostError
 
 
 class RawRequest:
@@ -22,11 +22,11 @@
         self.body = body
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """Report that the caller has left while its answer was written."""
 
 
-class CallerAnswer:
+class CallerResponse:
     """Write one answer to a caller."""
 
     def __init__(
@@ -41,7 +41,7 @@
         self.status = 0
         self.closes_connection = False
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send(self, status: int, headers: Headers, body: bytes) -> None:
         """Send an answer whose body is known."""
         framed = [*headers, (b'Content-Length', str(len(body)).encode())]
         content = self._head(status, framed)
@@ -79,5 +79,5 @@
     async def _write(self, content: bytes) -> None:
         try:
             await self._channel.write(content)
-        except ConnectionCutError as error:
-            raise CallerGoneError from error
+        except ConnectionLostError as error:
+            raise CallerDisconnectedError from error
--- a/jacinthfold/proxy/delivery.py
+++ b/jacinthfold/proxy/delivery.py
@@ -5,22 +5,22 @@
 
 from jacinthfold.catalogue.model import Repetition
 from jacinthfold.clock import Clock
-from jacinthfold.proxy.caller_answer import CallerAnswer
+from jacinthfold.proxy.caller_response import CallerResponse
 from jacinthfold.proxy.events import EventSplitter
 from jacinthfold.proxy.outcome import Ending, Outcome
-from jacinthfold.proxy.patience import Patience
 from jacinthfold.proxy.progress import Progress
-from jacinthfold.request.messages import AnswerHead, Request
+from jacinthfold.proxy.response_timeout import ResponseTimeout
+from jacinthfold.request.messages import Request, ResponseHead
 from jacinthfold.transport.channel import Channel
 from jacinthfold.transport.errors import ProxyError
 from jacinthfold.transport.exchange import Exchange
 
 # Plain answers are held until they are proven whole; this bounds one.
-WHOLE_LIMIT_BYTES = 16777216
+MAX_BUFFERED_BODY_BYTES = 16777216
 # A stream that may be resumed is taken away from a target that makes no
 # event for this many of the longest pauses that callers accept.
-SILENT_GAPS = 3.0
-SILENT_GAP_AT_LEAST_SECONDS = 0.9
+GAP_TIMEOUT_FACTOR = 3.0
+MIN_GAP_TIMEOUT_SECONDS = 0.9
 
 
 class Delivery:
@@ -29,40 +29,40 @@
     def __init__(
         self,
         request: Request,
-        answer: CallerAnswer,
+        response: CallerResponse,
         progress: Progress,
-        patience: Patience,
+        timeout: ResponseTimeout,
         clock: Clock,
     ) -> None:
         """Take both ends, and how long the answer is waited for."""
         self._request = request
-        self._answer = answer
+        self._response = response
         self._progress = progress
-        self._patience = patience
+        self._timeout = timeout
         self._clock = clock
-        self.limit_bytes = WHOLE_LIMIT_BYTES
+        self.limit_bytes = MAX_BUFFERED_BODY_BYTES
         self.first_event_at = 0.0
         # Only another entry host may tell how a request ended in our words; a
         # target that did could make an order that ran look not run.
-        self.is_at_peer = False
+        self.is_peer = False
         # Whether the other side broke the connection before the answer's end.
         self.is_broken = False
         self.channel: Channel | None = None
         self._is_withdrawn = False
         self.on_first_event: Callable[[], None] | None = None
-        self.on_heard: Callable[[], None] = _nothing
-        self.on_head: Callable[[AnswerHead], None] = _take_nothing
+        self.on_activity: Callable[[], None] = _ignore_activity
+        self.on_head: Callable[[ResponseHead], None] = _ignore_head
         # Says why the target may not be sent to any more.
-        self.target_barrier: Callable[[], str] = str
+        self.target_rejection: Callable[[], str] = str
 
     @property
-    def barrier_reason(self) -> str:
+    def rejection_reason(self) -> str:
         """Return why the request may not be sent now, nothing if it may."""
-        return self._progress.barrier_reason() or self.target_barrier()
+        return self._progress.rejection_reason() or self.target_rejection()
 
-    def note_leaves(self) -> None:
+    def mark_in_flight(self) -> None:
         """Take that the request's first byte is about to leave."""
-        self._progress.is_out = True
+        self._progress.is_in_flight = True
 
     def withdraw(self) -> None:
         """Take the request back from where it was sent."""
@@ -70,92 +70,95 @@
             self._is_withdrawn = True
             self.channel.abort()
 
-    async def head_of(self, exchange: Exchange) -> AnswerHead:
+    async def read_head(self, exchange: Exchange) -> ResponseHead:
         """Return the head of an answer; raise TimeoutError on silence."""
-        head = await self._patience.wait(
-            exchange.head(), self._patience.silence_seconds
+        head = await self._timeout.wait(
+            exchange.read_head(), self._timeout.soft_timeout_seconds
         )
-        self.on_heard()
+        self.on_activity()
         self.on_head(head)
         return head
 
-    async def deliver(self, exchange: Exchange, head: AnswerHead) -> Outcome:
+    async def deliver(self, exchange: Exchange, head: ResponseHead) -> Outcome:
         """Bring an answer to the caller."""
         if self._request.route.is_stream and head.status == HTTPStatus.OK:
             return await self._deliver_events(exchange, head)
-        body = await self._patience.wait(
-            exchange.whole(self.limit_bytes), self._patience.silence_seconds
+        body = await self._timeout.wait(
+            exchange.read_body(self.limit_bytes),
+            self._timeout.soft_timeout_seconds,
         )
         is_failure = head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
-        if self._answer.has_started or (is_failure and self._may_repeat()):
+        if self._response.has_started or (is_failure and self._may_retry()):
             reason = f'status_{head.status}'
             return Outcome(Ending.FAILED, reason, head=head, body=body)
-        await self._answer.whole(head.status, head.passed_headers(), body)
+        await self._response.send(head.status, head.end_to_end_headers(), body)
         if is_failure:
             return Outcome(Ending.DELIVERED, f'status_{head.status}')
         return Outcome(Ending.DELIVERED)
 
-    def broken(self, error: ProxyError) -> Outcome:
+    def broken_outcome(self, error: ProxyError) -> Outcome:
         """Return the outcome of an attempt whose answer did not end."""
-        is_gone = self.channel is not None and self.channel.is_gone
-        self.is_broken = is_gone and not self._is_withdrawn
-        ending = Ending.CUT if self._answer.has_started else Ending.UNKNOWN
+        is_peer_closed = (
+            self.channel is not None and self.channel.is_peer_closed
+        )
+        self.is_broken = is_peer_closed and not self._is_withdrawn
+        ending = Ending.CUT if self._response.has_started else Ending.UNKNOWN
         return Outcome(ending, f'{type(error).__name__}: {error}')
 
     async def _deliver_events(
-        self, exchange: Exchange, head: AnswerHead
+        self, exchange: Exchange, head: ResponseHead
     ) -> Outcome:
         splitter = EventSplitter(self._progress.last_event_id)
         while True:
-            part = await self._patience.wait(
-                exchange.part(), self._pause_limit()
+            chunk = await self._timeout.wait(
+                exchange.read_chunk(), self._chunk_timeout_seconds()
             )
-            self.on_heard()
-            if part is None:
+            self.on_activity()
+            if chunk is None:
                 break
-            await self._pass_on(splitter.feed(part), head)
+            await self._forward_events(splitter.feed(chunk), head)
             self._progress.last_event_id = splitter.last_event_id
-        await self._pass_on(splitter.rest, head)
-        if not self._answer.has_started:
-            await self._answer.start(head.status, head.passed_headers())
-        await self._answer.finish()
+        await self._forward_events(splitter.incomplete, head)
+        if not self._response.has_started:
+            await self._response.start(head.status, head.end_to_end_headers())
+        await self._response.finish()
         return Outcome(Ending.DELIVERED)
 
-    async def _pass_on(self, events: bytes, head: AnswerHead) -> None:
+    async def _forward_events(self, events: bytes, head: ResponseHead) -> None:
         if not events:
             return
         if not self.first_event_at:
             self.first_event_at = self._clock.monotonic()
-            self._note_first_event()
+            self._record_first_event()
             if self.on_first_event is not None:
                 self.on_first_event()
-        if not self._answer.has_started:
-            await self._answer.start(head.status, head.passed_headers())
-        await self._answer.write(events)
+        if not self._response.has_started:
+            await self._response.start(head.status, head.end_to_end_headers())
+        await self._response.write(events)
 
-    def _note_first_event(self) -> None:
+    def _record_first_event(self) -> None:
         # A stream that goes on at another target has begun before.
-        if self._progress.first_seconds is None:
+        if self._progress.first_event_seconds is None:
             elapsed = self.first_event_at - self._request.received_at
-            self._progress.first_seconds = elapsed
+            self._progress.first_event_seconds = elapsed
 
-    def _pause_limit(self) -> float | None:
-        silence_seconds = self._patience.silence_seconds
-        if silence_seconds is None or not self.first_event_at:
-            return silence_seconds
+    def _chunk_timeout_seconds(self) -> float | None:
+        soft_timeout_seconds = self._timeout.soft_timeout_seconds
+        if soft_timeout_seconds is None or not self.first_event_at:
+            return soft_timeout_seconds
         gap = self._request.route.gap_aim_seconds
-        return max(SILENT_GAPS * gap, SILENT_GAP_AT_LEAST_SECONDS)
+        return max(GAP_TIMEOUT_FACTOR * gap, MIN_GAP_TIMEOUT_SECONDS)
 
-    def _may_repeat(self) -> bool:
+    def _may_retry(self) -> bool:
         route = self._request.route
         if route.repetition is Repetition.NEVER:
             return False
         return self._progress.runs + 1 < route.max_attempts
 
 
-def _nothing() -> None:
+def _ignore_activity() -> None:
     """Hear of nothing."""
 
 
-def _take_nothing(_: AnswerHead) -> None:
+def _ignore_head(_: ResponseHead) -> None:
     """Take an answer's head and keep nothing of it."""
--- a/jacinthfold/proxy/events.py
+++ b/jacinthfold/proxy/events.py
@@ -9,37 +9,37 @@
 
     def __init__(self, last_event_id: str = '') -> None:
         """Take the identifier after which events are wanted."""
-        self._rest = b''
+        self._incomplete = b''
         self.last_event_id = last_event_id
         self.count = 0
 
     @property
-    def rest(self) -> bytes:
+    def incomplete(self) -> bytes:
         """Return bytes of an event that is not whole."""
-        return self._rest
+        return self._incomplete
 
     def feed(self, content: bytes) -> bytes:
         """Return the whole events that bytes have completed."""
-        self._rest += content
+        self._incomplete += content
         passed: list[bytes] = []
         while True:
-            end = _event_end(self._rest)
+            end = _event_end(self._incomplete)
             if end < 0:
                 return b''.join(passed)
-            event = self._rest[:end]
-            self._rest = self._rest[end:]
+            event = self._incomplete[:end]
+            self._incomplete = self._incomplete[end:]
             if self._is_wanted(event):
                 passed.append(event)
 
     def _is_wanted(self, event: bytes) -> bool:
-        number = _event_id(event)
-        if not number:
+        event_id = _event_id(event)
+        if not event_id:
             return True
         # A target that goes on with a stream may begin with the event that
         # the caller has; passed on, the text would repeat.
-        if _is_seen(number, self.last_event_id):
+        if _is_seen(event_id, self.last_event_id):
             return False
-        self.last_event_id = number
+        self.last_event_id = event_id
         self.count += 1
         return True
 
@@ -60,7 +60,7 @@
     return ''
 
 
-def _is_seen(number: str, last: str) -> bool:
-    if number.isdigit() and last.isdigit():
-        return int(number) <= int(last)
-    return bool(last) and number == last
+def _is_seen(event_id: str, last_event_id: str) -> bool:
+    if event_id.isdigit() and last_event_id.isdigit():
+        return int(event_id) <= int(last_event_id)
+    return bool(last_event_id) and event_id == last_event_id
--- a/jacinthfold/proxy/forwarding.py
+++ b/jacinthfold/proxy/forwarding.py
@@ -12,28 +12,28 @@
 from jacinthfold.proxy import request_log
 from jacinthfold.proxy.admission import Admission
 from jacinthfold.proxy.attempts import Attempts
-from jacinthfold.proxy.caller_answer import CallerAnswer
+from jacinthfold.proxy.caller_response import CallerResponse
 from jacinthfold.proxy.metrics import ProxyMetrics
 from jacinthfold.proxy.outcome import Ending, Outcome
 from jacinthfold.proxy.progress import Progress
 from jacinthfold.proxy.relay_header import (
-    TOLD_NOT_RUN,
-    TOLD_UNKNOWN,
-    told,
-    told_quarantined,
+    OUTCOME_NOT_RUN,
+    OUTCOME_UNKNOWN,
+    outcome_header,
+    quarantined_header,
 )
 from jacinthfold.quarantine.quarantine import Quarantine
 from jacinthfold.request.messages import Headers, Request
 from jacinthfold.transport.dialect import Dialect
 
 # Callers heed a return time of at most a third of what they have left.
-RETURN_SHARE = 0.3
-QUARANTINED_TEXT = (
+RETRY_AFTER_SHARE = 0.3
+QUARANTINED_BODY = (
     b'error: not run: targets ended under this request again and again; '
     b'it is refused until the time given to come back\n'
 )
 # Sends of one request that may be turned down before it is refused.
-TURNED_DOWN_LIMIT = 3
+MAX_NOT_RUN_SENDS = 3
 
 
 class Forwarder:
@@ -60,34 +60,34 @@
         self._metrics = metrics
         self._clock = clock
 
-    async def serve(self, request: Request, answer: CallerAnswer) -> None:
+    async def serve(self, request: Request, response: CallerResponse) -> None:
         """Answer a request; leave the answer open if it broke midway."""
-        progress = self._admission.begin(request)
-        left = request.deadline - self._clock.monotonic()
+        progress = self._admission.start_progress(request)
+        remaining_seconds = request.deadline - self._clock.monotonic()
         try:
-            async with asyncio.timeout(max(0.0, left)):
-                await self._carry(request, answer, progress)
+            async with asyncio.timeout(max(0.0, remaining_seconds)):
+                await self._run_attempts(request, response, progress)
         except TimeoutError:
             progress.reason = 'deadline'
-            await self._give_up(request, answer, progress)
+            await self._send_failure(request, response, progress)
         finally:
-            self._admission.settle(progress)
-            self._log_end(request, answer, progress)
+            self._admission.release_unused_permit(progress)
+            self._log_outcome(request, response, progress)
 
-    async def _carry(
-        self, request: Request, answer: CallerAnswer, progress: Progress
+    async def _run_attempts(
+        self, request: Request, response: CallerResponse, progress: Progress
     ) -> None:
-        goes_on = True
-        while goes_on:
-            goes_on = await self._step(request, answer, progress)
+        may_continue = True
+        while may_continue:
+            may_continue = await self._attempt_next(request, response, progress)
         if progress.ending is not Ending.DELIVERED:
-            await self._give_up(request, answer, progress)
+            await self._send_failure(request, response, progress)
 
-    async def _step(
-        self, request: Request, answer: CallerAnswer, progress: Progress
+    async def _attempt_next(
+        self, request: Request, response: CallerResponse, progress: Progress
     ) -> bool:
         """Decide, and make one attempt; tell whether another may follow."""
-        if self._admission.is_barred(request, progress):
+        if self._admission.is_rejected(request, progress):
             return False
         # Before the choice: while one request waits for its permit others
         # would choose the same cold target, each as the first in its pace.
@@ -97,49 +97,51 @@
             request, progress.tried, progress.tried_regions
         )
         if isinstance(choice, Refuse):
-            request_log.log_refusal(request, choice)
-            progress.note_refused(choice)
+            request_log.log_placement_rejection(request, choice)
+            progress.record_placement_rejection(choice)
             return False
         if not self._may_send(request, progress):
             return False
-        return await self._try_once(request, answer, progress, choice)
+        return await self._try_once(request, response, progress, choice)
 
     async def _try_once(
         self,
         request: Request,
-        answer: CallerAnswer,
+        response: CallerResponse,
         progress: Progress,
         choice: Choice,
     ) -> bool:
         """Make one attempt; tell whether another one may follow."""
         request_log.log_choice(request, choice, progress)
-        outcome = await self._attempt(request, answer, progress, choice)
-        progress.note(choice, outcome)
+        outcome = await self._attempt(request, response, progress, choice)
+        progress.record_attempt(choice, outcome)
         if outcome.ending is Ending.DELIVERED:
-            self._note_served(request, answer)
+            self._record_served(request, response)
             return False
         request_log.log_failure(request, progress, outcome)
-        return self._may_repeat(request, progress, outcome, answer)
+        return self._may_retry(request, progress, outcome, response)
 
-    def _note_served(self, request: Request, answer: CallerAnswer) -> None:
-        if answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
+    def _record_served(
+        self, request: Request, response: CallerResponse
+    ) -> None:
+        if response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
             self._quarantine.note_served(request)
 
     async def _attempt(
         self,
         request: Request,
-        answer: CallerAnswer,
+        response: CallerResponse,
         progress: Progress,
         choice: Choice,
     ) -> Outcome:
         if isinstance(choice, SendTo):
             self._placer.note_sent(choice, request)
-            return await self._attempts.at_target(
-                request, answer, progress, choice.estimate
+            return await self._attempts.send_to_target(
+                request, response, progress, choice.estimate
             )
         if isinstance(choice, PassTo):
-            return await self._attempts.at_region(
-                request, answer, progress, choice.region
+            return await self._attempts.relay_to_region(
+                request, response, progress, choice.region
             )
         raise TypeError(f'no attempt follows {choice!r}')
 
@@ -149,92 +151,104 @@
             if not request.is_relayed:
                 self._budgets.note_request(request.service_name)
             return True
-        if progress.turned_down >= TURNED_DOWN_LIMIT:
+        if progress.not_run_count >= MAX_NOT_RUN_SENDS:
             return False
         return self._budgets.take(request.service_name)
 
-    def _may_repeat(
+    def _may_retry(
         self,
         request: Request,
         progress: Progress,
         outcome: Outcome,
-        answer: CallerAnswer,
+        response: CallerResponse,
     ) -> bool:
         if progress.is_quarantined:
             return False
         if outcome.ending is Ending.NOT_RUN:
-            return not answer.has_started or (
+            return not response.has_started or (
                 request.route.repetition is Repetition.RESUMED
             )
         if progress.runs >= request.route.max_attempts:
             return False
-        if answer.has_started:
+        if response.has_started:
             return request.route.repetition is Repetition.RESUMED
         return request.route.repetition is not Repetition.NEVER
 
-    async def _give_up(
-        self, request: Request, answer: CallerAnswer, progress: Progress
+    async def _send_failure(
+        self, request: Request, response: CallerResponse, progress: Progress
     ) -> None:
         """Send the final answer of a request that was not served."""
-        if answer.has_started:
+        if response.has_started:
             return
-        failed = progress.failed
+        failed = progress.failed_outcome
         if failed is not None and failed.head is not None:
-            await answer.whole(
-                failed.head.status, failed.head.passed_headers(), failed.body
+            await response.send(
+                failed.head.status,
+                failed.head.end_to_end_headers(),
+                failed.body,
             )
             return
-        own = self._dialect.own_headers(request.facts.request_id)
+        base_headers = self._dialect.gateway_headers(request.facts.request_id)
         if request.is_relayed:
             is_unknown = progress.may_have_run
-            own += told(TOLD_UNKNOWN if is_unknown else TOLD_NOT_RUN)
+            base_headers += outcome_header(
+                OUTCOME_UNKNOWN if is_unknown else OUTCOME_NOT_RUN
+            )
             if progress.is_quarantined:
-                own += told_quarantined()
+                base_headers += quarantined_header()
         if progress.may_have_run:
-            late = progress.reason == 'deadline'
+            is_late = progress.reason == 'deadline'
             status = (
-                HTTPStatus.GATEWAY_TIMEOUT if late else HTTPStatus.BAD_GATEWAY
+                HTTPStatus.GATEWAY_TIMEOUT
+                if is_late
+                else HTTPStatus.BAD_GATEWAY
             )
-            await answer.whole(status, own, b'')
+            await response.send(status, base_headers, b'')
             return
         if progress.is_quarantined:
-            await self._refuse_quarantined(answer, progress, own)
+            await self._reject_quarantined(response, progress, base_headers)
             return
-        left = request.deadline - self._clock.monotonic()
-        after = min(progress.after_seconds, max(0.05, left * RETURN_SHARE))
+        remaining_seconds = request.deadline - self._clock.monotonic()
+        retry_after_seconds = min(
+            progress.after_seconds,
+            max(0.05, remaining_seconds * RETRY_AFTER_SHARE),
+        )
         status = progress.refusal_status
-        headers = list(own)
+        headers = list(base_headers)
         if status is not HTTPStatus.UNAUTHORIZED:
-            headers += self._dialect.retry_headers(after)
-        await answer.whole(status, headers, b'')
+            headers += self._dialect.retry_headers(retry_after_seconds)
+        await response.send(status, headers, b'')
 
-    async def _refuse_quarantined(
-        self, answer: CallerAnswer, progress: Progress, own: Headers
+    async def _reject_quarantined(
+        self,
+        response: CallerResponse,
+        progress: Progress,
+        base_headers: Headers,
     ) -> None:
         # 429 and not 503: the service is well, and it is this request that
         # must stop coming. Well-made clients wait for as long as they are told.
         retry = self._dialect.retry_headers(progress.after_seconds)
-        headers = [*own, *retry, (b'Content-Type', b'text/plain')]
-        await answer.whole(
-            HTTPStatus.TOO_MANY_REQUESTS, headers, QUARANTINED_TEXT
+        headers = [*base_headers, *retry, (b'Content-Type', b'text/plain')]
+        await response.send(
+            HTTPStatus.TOO_MANY_REQUESTS, headers, QUARANTINED_BODY
         )
 
-    def _log_end(
-        self, request: Request, answer: CallerAnswer, progress: Progress
+    def _log_outcome(
+        self, request: Request, response: CallerResponse, progress: Progress
     ) -> None:
         elapsed = self._clock.monotonic() - request.received_at
-        self._count_end(request, answer, elapsed)
+        self._count_outcome(request, response, elapsed)
         fields = {
             'request': request.facts.request_id,
             'service': request.service_name,
-            'status': answer.status,
-            'whole': answer.is_finished,
+            'status': response.status,
+            'whole': response.is_finished,
             'sends': progress.sends,
             'seconds': elapsed,
         }
-        if progress.first_seconds is not None:
-            fields['first_seconds'] = progress.first_seconds
-        if answer.is_finished and answer.status < HTTPStatus.BAD_REQUEST:
+        if progress.first_event_seconds is not None:
+            fields['first_seconds'] = progress.first_event_seconds
+        if response.is_finished and response.status < HTTPStatus.BAD_REQUEST:
             logs.event('request_served', **fields)
             return
         logs.warning(
@@ -244,16 +258,16 @@
             **fields,
         )
 
-    def _count_end(
+    def _count_outcome(
         self,
         request: Request,
-        answer: CallerAnswer,
+        response: CallerResponse,
         elapsed_seconds: float,
     ) -> None:
         ending = 'left_open'
-        if answer.is_finished:
-            ending = f'status_{int(answer.status)}'
-        elif not answer.has_started:
+        if response.is_finished:
+            ending = f'status_{int(response.status)}'
+        elif not response.has_started:
             ending = 'caller_left'
         service = request.service_name
         self._metrics.requests.labels(service, ending).inc()
--- a/jacinthfold/proxy/key_gate.py
+++ b/jacinthfold/proxy/key_gate.py
@@ -8,13 +8,13 @@
 
 # Kept of the bound: from the look at the age to a request's last byte at a
 # target, on a host that is short of processor time.
-MARGIN_SECONDS = 0.4
+AGE_MARGIN_SECONDS = 0.4
 # A key that isn't known may be new: denied only by hosts that hear of new keys
 # by now, since callers don't come back after that.
-DENY_AGE_SECONDS = 2.0
+MAX_DENY_AGE_SECONDS = 2.0
 
 
-class Barrier(Enum):
+class KeyRejection(Enum):
     """Say why a request that was let in may not be sent any more."""
 
     STALE = 'keys_stale'
@@ -49,14 +49,14 @@
         # served by other hosts, a bad one nowhere.
         if self._bound_seconds is None:
             return True
-        return self.age_seconds <= self._bound_seconds - MARGIN_SECONDS
+        return self.age_seconds <= self._bound_seconds - AGE_MARGIN_SECONDS
 
     @property
     def may_deny(self) -> bool:
         """Tell whether an unknown key is surely unknown to the operator."""
         if self._bound_seconds is None:
             return True
-        return self.age_seconds <= DENY_AGE_SECONDS
+        return self.age_seconds <= MAX_DENY_AGE_SECONDS
 
     def holder(self, key_digest: bytes | None) -> Organisation | None:
         """Return who holds a key now."""
@@ -68,7 +68,7 @@
         table = self._catalogue.routes
         return table.organisations.named(name) if table else None
 
-    def barrier(self, request: Request) -> Barrier | None:
+    def rejection(self, request: Request) -> KeyRejection | None:
         """Return why a request may not be sent now, None if it may."""
         # Looked at before each send: a request may have waited, its host may
         # have stood still, and its key may be gone since it was let in.
@@ -76,10 +76,10 @@
         if organisation is None:
             return None
         if not self.is_fresh:
-            return Barrier.STALE
+            return KeyRejection.STALE
         if request.is_relayed:
             found = self.named(organisation.name)
         else:
             found = self.holder(request.facts.key_digest)
         is_same = found is not None and found.name == organisation.name
-        return None if is_same else Barrier.REVOKED
+        return None if is_same else KeyRejection.REVOKED
--- a/jacinthfold/proxy/listener.py
+++ b/jacinthfold/proxy/listener.py
@@ -8,14 +8,14 @@
 
 from jacinthfold import logs
 from jacinthfold.catalogue.model import CallerLimits
-from jacinthfold.proxy.caller_answer import (
-    CallerAnswer,
-    CallerGoneError,
+from jacinthfold.proxy.caller_response import (
+    CallerDisconnectedError,
+    CallerResponse,
     RawRequest,
 )
 from jacinthfold.transport.channel import Channel
 from jacinthfold.transport.errors import (
-    ConnectionCutError,
+    ConnectionLostError,
     MalformedRequestError,
 )
 
@@ -28,7 +28,9 @@
 class Handler(Protocol):
     """Serve requests."""
 
-    async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
+    async def handle(
+        self, request: RawRequest, response: CallerResponse
+    ) -> None:
         """Answer a request; an answer that is left open is cut."""
 
 
@@ -50,7 +52,7 @@
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._idle: set[Channel] = set()
-        self.in_service_count = 0
+        self.active_request_count = 0
         # Set when this host leaves: answers then close their connections.
         self.is_leaving = False
 
@@ -69,7 +71,7 @@
     def close_idle(self) -> None:
         """Close connections on which no request has begun."""
         for channel in list(self._idle):
-            if not channel.has_unread:
+            if not channel.has_unread_bytes:
                 channel.close()
 
     @property
@@ -82,16 +84,18 @@
         """Return the limits in force."""
         return self._read_limits()
 
-    async def answer(self, request: RawRequest, answer: CallerAnswer) -> None:
+    async def respond(
+        self, request: RawRequest, response: CallerResponse
+    ) -> None:
         """Have a request served and count it meanwhile."""
-        self.in_service_count += 1
-        answer.closes_connection = self.is_leaving
+        self.active_request_count += 1
+        response.closes_connection = self.is_leaving
         try:
-            await self._handler.handle(request, answer)
+            await self._handler.handle(request, response)
         finally:
-            self.in_service_count -= 1
+            self.active_request_count -= 1
 
-    def note_idle(self, channel: Channel, *, is_idle: bool) -> None:
+    def set_idle(self, channel: Channel, *, is_idle: bool) -> None:
         """Take whether a connection waits for a request."""
         if is_idle:
             self._idle.add(channel)
@@ -133,7 +137,7 @@
         try:
             while await self._serve_next():
                 self._parser.start_next_cycle()
-        except CallerGoneError:
+        except CallerDisconnectedError:
             self._channel.abort()
         except asyncio.CancelledError:
             # The caller has left; its request was given up on the way here.
@@ -146,18 +150,20 @@
             )
             self._channel.abort()
         finally:
-            self._listener.note_idle(self._channel, is_idle=False)
+            self._listener.set_idle(self._channel, is_idle=False)
             self._channel.close()
 
     async def _serve_next(self) -> bool:
-        request = await self._read_or_refuse()
+        request = await self._read_or_reject()
         if request is None:
             return False
-        answer = CallerAnswer(
+        response = CallerResponse(
             self._channel, self._parser, request.method == b'HEAD'
         )
-        await self._watched(self._listener.answer(request, answer))
-        if not answer.is_finished:
+        await self._cancel_on_disconnect(
+            self._listener.respond(request, response)
+        )
+        if not response.is_finished:
             # Without its end the answer must not look whole.
             self._channel.abort()
             return False
@@ -166,28 +172,28 @@
             and self._parser.their_state is h11.DONE
         )
 
-    async def _watched(self, work: Awaitable[None]) -> None:
+    async def _cancel_on_disconnect(self, work: Awaitable[None]) -> None:
         """Serve, and stop as soon as the caller leaves."""
         task = asyncio.current_task()
-        if task is None or self._channel.is_gone:
+        if task is None or self._channel.is_peer_closed:
             asyncio.ensure_future(work).cancel()
-            raise CallerGoneError
-        self._channel.on_gone = task.cancel
+            raise CallerDisconnectedError
+        self._channel.on_peer_closed = task.cancel
         try:
             await work
         finally:
-            self._channel.on_gone = None
+            self._channel.on_peer_closed = None
 
-    async def _read_or_refuse(self) -> RawRequest | None:
+    async def _read_or_reject(self) -> RawRequest | None:
         try:
             return await self._read()
-        except ConnectionCutError:
+        except ConnectionLostError:
             return None
         except MalformedRequestError as error:
-            await self._refuse(error.status, str(error))
+            await self._reject(error.status, str(error))
             return None
 
-    async def _refuse(self, status: int, reason: str) -> None:
+    async def _reject(self, status: int, reason: str) -> None:
         logs.warning(
             'request_malformed',
             listener=self._listener.name,
@@ -196,9 +202,9 @@
         )
         if self._parser.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
-        answer = CallerAnswer(self._channel, self._parser, is_head=False)
-        answer.closes_connection = True
-        await answer.whole(status, [], b'')
+        response = CallerResponse(self._channel, self._parser, is_head=False)
+        response.closes_connection = True
+        await response.send(status, [], b'')
 
     async def _read(self) -> RawRequest | None:
         limits = self._listener.limits
@@ -211,7 +217,7 @@
             raise MalformedRequestError(408, 'head not read in time') from error
         if not isinstance(head, h11.Request):
             return None
-        _check_size(head, limits.head_bytes)
+        _check_head_size(head, limits.head_bytes)
         try:
             async with asyncio.timeout(limits.idle_timeout_seconds):
                 body = await self._read_body(limits.body_bytes)
@@ -222,17 +228,17 @@
         )
 
     async def _wait_for_request(self, limits: CallerLimits) -> bool:
-        if self._parser.trailing_data[0] or self._channel.has_unread:
+        if self._parser.trailing_data[0] or self._channel.has_unread_bytes:
             return True
         seconds = limits.idle_timeout_seconds + IDLE_MARGIN_SECONDS
-        self._listener.note_idle(self._channel, is_idle=True)
+        self._listener.set_idle(self._channel, is_idle=True)
         try:
             async with asyncio.timeout(seconds):
                 content = await self._channel.read()
         except TimeoutError:
             return False
         finally:
-            self._listener.note_idle(self._channel, is_idle=False)
+            self._listener.set_idle(self._channel, is_idle=False)
         if not content:
             return False
         self._parser.receive_data(content)
@@ -245,7 +251,7 @@
             if isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             if not isinstance(event, h11.Data):
-                raise ConnectionCutError('the caller left inside a body')
+                raise ConnectionLostError('the caller left inside a body')
             body += event.data
             if len(body) > limit_bytes:
                 raise MalformedRequestError(413, 'the body is too large')
@@ -253,10 +259,10 @@
     async def _next_event(self) -> object:
         event = self._parse()
         while event is h11.NEED_DATA:
-            self._invite_body()
+            self._send_continue()
             content = await self._channel.read()
             if not content:
-                raise ConnectionCutError('the caller left inside a request')
+                raise ConnectionLostError('the caller left inside a request')
             self._parser.receive_data(content)
             event = self._parse()
         return event
@@ -272,15 +278,15 @@
                 error.error_status_hint, reason
             ) from None
 
-    def _invite_body(self) -> None:
+    def _send_continue(self) -> None:
         if self._parser.they_are_waiting_for_100_continue:
             event = h11.InformationalResponse(status_code=100, headers=[])
             self._channel.send(self._parser.send(event) or b'')
 
 
-def _check_size(head: h11.Request, limit_bytes: int) -> None:
+def _check_head_size(head: h11.Request, limit_bytes: int) -> None:
     # The parser bounds only heads that come in several pieces.
-    sizes = [len(name) + len(held) for name, held in head.headers]
+    sizes = [len(name) + len(content) for name, content in head.headers]
     size = sum(sizes) + len(head.target)
     if size > limit_bytes:
         raise MalformedRequestError(431, f'a head of {size} bytes')
--- a/jacinthfold/proxy/metrics.py
+++ b/jacinthfold/proxy/metrics.py
@@ -52,7 +52,7 @@
             ['service'],
             registry=self.registry,
         )
-        self.turned_away = Counter(
+        self.rejected = Counter(
             'jacinthfold_gateway_requests_turned_away_total',
             'Requests that key or cap did not let run, by reason',
             ['reason'],
--- a/jacinthfold/proxy/outcome.py
+++ b/jacinthfold/proxy/outcome.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 
 from jacinthfold.proxy import relay_header
-from jacinthfold.request.messages import AnswerHead, first_header
+from jacinthfold.request.messages import ResponseHead, first_header
 
 
 class Ending(Enum):
@@ -25,7 +25,7 @@
         'body',
         'ending',
         'head',
-        'is_barred',
+        'is_rejected_locally',
         'is_pushback',
         'reason',
     )
@@ -35,10 +35,10 @@
         ending: Ending,
         reason: str = '',
         *,
-        head: AnswerHead | None = None,
+        head: ResponseHead | None = None,
         body: bytes = b'',
         after_seconds: float | None = None,
-        is_barred: bool = False,
+        is_rejected_locally: bool = False,
         is_pushback: bool = False,
     ) -> None:
         """Take the ending, why, and the failed answer if there is one."""
@@ -49,39 +49,39 @@
         # When a peer that refused says that a return may meet room.
         self.after_seconds = after_seconds
         # Not sent, for a reason that says nothing of the target.
-        self.is_barred = is_barred
+        self.is_rejected_locally = is_rejected_locally
         # Turned away by a target that is well and says when to come back.
         self.is_pushback = is_pushback
 
 
-def told_outcome(head: AnswerHead, *, is_peer: bool) -> Outcome | None:
+def outcome_from_head(head: ResponseHead, *, is_peer: bool) -> Outcome | None:
     """Return the outcome that an answer's head alone tells, if it does."""
     outcome = _peer_outcome(head) if is_peer else None
-    return outcome or _turned_down(head)
+    return outcome or _not_run_outcome(head)
 
 
-def _peer_outcome(head: AnswerHead) -> Outcome | None:
-    told = first_header(head.headers, relay_header.ANSWER_HEADER)
-    if told == relay_header.TOLD_NOT_RUN:
-        after = first_header(head.headers, b'retry-after')
-        is_final = relay_header.is_told_quarantined(head.headers)
+def _peer_outcome(head: ResponseHead) -> Outcome | None:
+    outcome = first_header(head.headers, relay_header.OUTCOME_HEADER)
+    if outcome == relay_header.OUTCOME_NOT_RUN:
+        retry_after = first_header(head.headers, b'retry-after')
+        is_final = relay_header.is_marked_quarantined(head.headers)
         return Outcome(
             Ending.NOT_RUN,
             'quarantined' if is_final else 'region_refused',
-            after_seconds=float(after) if after else None,
+            after_seconds=float(retry_after) if retry_after else None,
         )
-    if told == relay_header.TOLD_UNKNOWN:
+    if outcome == relay_header.OUTCOME_UNKNOWN:
         return Outcome(Ending.UNKNOWN, 'region_failed')
     return None
 
 
-def _turned_down(head: AnswerHead) -> Outcome | None:
+def _not_run_outcome(head: ResponseHead) -> Outcome | None:
     if head.status == HTTPStatus.MISDIRECTED_REQUEST:
         return Outcome(Ending.NOT_RUN, 'wrong_instance')
     if head.facts.is_not_run:
         return Outcome(
             Ending.NOT_RUN,
             f'target_refused_{head.status}',
-            is_pushback=head.facts.rest_seconds is not None,
+            is_pushback=head.facts.backoff_seconds is not None,
         )
     return None
--- a/jacinthfold/proxy/progress.py
+++ b/jacinthfold/proxy/progress.py
@@ -8,7 +8,7 @@
 from jacinthfold.quota.permits import Permit
 from jacinthfold.request.messages import Request
 
-DEFAULT_RETURN_SECONDS = 0.5
+DEFAULT_RETRY_AFTER_SECONDS = 0.5
 # The reason of a refusal because targets ended under the request.
 QUARANTINED = 'quarantined'
 
@@ -18,13 +18,13 @@
 
     __slots__ = (
         'after_seconds',
-        'barrier_reason',
+        'rejection_reason',
         'ending',
-        'failed',
-        'first_seconds',
-        'is_out',
+        'failed_outcome',
+        'first_event_seconds',
+        'is_in_flight',
         'last_event_id',
-        'last_place',
+        'last_destination',
         'permit',
         'reason',
         'refusal_status',
@@ -32,7 +32,7 @@
         'sends',
         'tried',
         'tried_regions',
-        'turned_down',
+        'not_run_count',
     )
 
     def __init__(self, request: Request) -> None:
@@ -41,35 +41,35 @@
         self.tried_regions: set[str] = set()
         self.sends = 0
         self.runs = 0
-        self.turned_down = 0
+        self.not_run_count = 0
         self.last_event_id = request.facts.last_event_id
-        self.last_place = ''
+        self.last_destination = ''
         # From the whole request to its first event, None before that.
-        self.first_seconds: float | None = None
+        self.first_event_seconds: float | None = None
         self.reason = ''
         # Set while an attempt is under way whose outcome is not known.
-        self.is_out = False
+        self.is_in_flight = False
         self.ending: Ending | None = None
-        self.failed: Outcome | None = None
-        self.after_seconds = DEFAULT_RETURN_SECONDS
+        self.failed_outcome: Outcome | None = None
+        self.after_seconds = DEFAULT_RETRY_AFTER_SECONDS
         # Of an answer that says that the request has not run.
         self.refusal_status = HTTPStatus.SERVICE_UNAVAILABLE
         # Says why the request may not be sent now, nothing while it may.
-        self.barrier_reason: Callable[[], str] = _no_reason
+        self.rejection_reason: Callable[[], str] = _no_reason
         # Allows one run; None where none is needed or it was used.
         self.permit: Permit | None = None
 
     @property
     def may_have_run(self) -> bool:
         """Tell whether any target may have begun to work on the request."""
-        return self.is_out or self.runs > 0
+        return self.is_in_flight or self.runs > 0
 
-    def note_refused(self, refusal: Refuse) -> None:
+    def record_placement_rejection(self, refusal: Refuse) -> None:
         """Take that nothing could be chosen."""
         self.reason = self.reason or refusal.reason
         self.after_seconds = refusal.after_seconds
 
-    def note_turned_away(
+    def record_admission_rejection(
         self, reason: str, status: HTTPStatus, after_seconds: float
     ) -> None:
         """Take that key or cap don't let the request be sent."""
@@ -82,32 +82,32 @@
         """Tell whether the request is refused for what it did to targets."""
         return self.reason == QUARANTINED
 
-    def note_quarantined(self, seconds: float) -> None:
+    def record_quarantined(self, seconds: float) -> None:
         """Take that the request is refused for some time."""
         self.reason = QUARANTINED
         self.after_seconds = seconds
 
-    def note(self, choice: Choice, outcome: Outcome) -> None:
+    def record_attempt(self, choice: Choice, outcome: Outcome) -> None:
         """Take how an attempt ended."""
         self.sends += 1
-        self.is_out = False
+        self.is_in_flight = False
         if isinstance(choice, SendTo):
-            self.last_place = choice.estimate.target.record.instance
-            self.tried.add(self.last_place)
+            self.last_destination = choice.estimate.target.record.instance
+            self.tried.add(self.last_destination)
         if isinstance(choice, PassTo):
-            self.last_place = choice.region.name
+            self.last_destination = choice.region.name
             self.tried_regions.add(choice.region.name)
         self.reason = outcome.reason
         self.ending = outcome.ending
         if outcome.after_seconds is not None:
             self.after_seconds = outcome.after_seconds
         if outcome.ending is Ending.NOT_RUN:
-            self.turned_down += 1
+            self.not_run_count += 1
             return
         self.permit = None
         self.runs += 1
         if outcome.ending is Ending.FAILED:
-            self.failed = outcome
+            self.failed_outcome = outcome
 
 
 def _no_reason() -> str:
--- a/jacinthfold/proxy/relay_header.py
+++ b/jacinthfold/proxy/relay_header.py
@@ -7,27 +7,27 @@
 
 # Both are dropped from what callers send and from what targets get.
 REQUEST_HEADER = b'jacinthfold-passed'
-ANSWER_HEADER = b'jacinthfold-outcome'
+OUTCOME_HEADER = b'jacinthfold-outcome'
 # Beside "not run", which hosts of the version before go by alone.
 REASON_HEADER = b'jacinthfold-reason'
-INTERNAL_HEADERS = frozenset((REQUEST_HEADER, ANSWER_HEADER, REASON_HEADER))
+INTERNAL_HEADERS = frozenset((REQUEST_HEADER, OUTCOME_HEADER, REASON_HEADER))
 
 
-TOLD_NOT_RUN = b'not_run'
-TOLD_UNKNOWN = b'unknown'
+OUTCOME_NOT_RUN = b'not_run'
+OUTCOME_UNKNOWN = b'unknown'
 
 
-def told(outcome: bytes) -> Headers:
+def outcome_header(outcome: bytes) -> Headers:
     """Return the header that tells an entry host how a request ended."""
-    return [(ANSWER_HEADER, outcome)]
+    return [(OUTCOME_HEADER, outcome)]
 
 
-def told_quarantined() -> Headers:
+def quarantined_header() -> Headers:
     """Return the header that tells why no host is to send the request."""
     return [(REASON_HEADER, b'quarantined')]
 
 
-def is_told_quarantined(headers: Headers) -> bool:
+def is_marked_quarantined(headers: Headers) -> bool:
     """Tell whether another host says that no host is to send a request."""
     return bool(first_header(headers, REASON_HEADER))
 
@@ -43,10 +43,10 @@
 
 def write(
     request: Request,
-    left_seconds: float,
+    remaining_seconds: float,
     elapsed_seconds: float,
     *,
-    is_paid: bool = False,
+    has_permit: bool = False,
 ) -> Headers:
     """Return the header that passes a request's route to another host.
 
@@ -65,13 +65,13 @@
         # one each, its own count is the whole count.
         'max_attempts': 1,
         'homes': sorted(request.home_regions),
-        'left_seconds': round(left_seconds, 3),
+        'left_seconds': round(remaining_seconds, 3),
         'elapsed_seconds': round(elapsed_seconds, 3),
     }
     if request.organisation is not None:
         # The name, never the key: the other host looks it up by itself.
         document['organisation'] = request.organisation.name
-        document['paid'] = is_paid
+        document['paid'] = has_permit
     content = json.dumps(document, separators=(',', ':')).encode()
     return [(REQUEST_HEADER, content)]
 
@@ -99,5 +99,5 @@
     request.is_relayed = True
     request.received_at = now - document['elapsed_seconds']
     request.deadline = now + document['left_seconds']
-    request.is_paid = bool(document.get('paid'))
+    request.has_permit = bool(document.get('paid'))
     return str(document.get('organisation', ''))
--- a/jacinthfold/proxy/request_log.py
+++ b/jacinthfold/proxy/request_log.py
@@ -36,7 +36,7 @@
         )
 
 
-def log_refusal(request: Request, refusal: Refuse) -> None:
+def log_placement_rejection(request: Request, refusal: Refuse) -> None:
     """Log that nothing could be chosen, and what was expected."""
     here, elsewhere = refusal.here, refusal.elsewhere
     logs.event(
@@ -58,7 +58,7 @@
         'attempt_failed',
         request=request.facts.request_id,
         attempt=progress.sends,
-        at=progress.last_place,
+        at=progress.last_destination,
         ending=outcome.ending.value,
         reason=outcome.reason,
         runs=progress.runs,
--- a/jacinthfold/proxy/patience.py
+++ b/jacinthfold/proxy/response_timeout.py
@@ -16,30 +16,30 @@
 Result = TypeVar('Result')
 
 
-class Patience:
+class ResponseTimeout:
     """Wait longer for those that are heard by others than for the silent."""
 
     __slots__ = (
         '_clock',
-        '_hang_seconds',
-        '_last_heard',
-        '_may_leave',
-        'silence_seconds',
+        '_hard_timeout_seconds',
+        '_last_activity_at',
+        '_may_fail_over',
+        'soft_timeout_seconds',
     )
 
     def __init__(
         self,
-        silence_seconds: float | None,
-        hang_seconds: float,
-        last_heard: Callable[[], float],
-        may_leave: Callable[[], bool],
+        soft_timeout_seconds: float | None,
+        hard_timeout_seconds: float,
+        last_activity_at: Callable[[], float],
+        may_fail_over: Callable[[], bool],
         clock: Clock,
     ) -> None:
         """Take both limits, and who knows the other end and other ways."""
-        self.silence_seconds = silence_seconds
-        self._hang_seconds = hang_seconds
-        self._last_heard = last_heard
-        self._may_leave = may_leave
+        self.soft_timeout_seconds = soft_timeout_seconds
+        self._hard_timeout_seconds = hard_timeout_seconds
+        self._last_activity_at = last_activity_at
+        self._may_fail_over = may_fail_over
         self._clock = clock
 
     def now(self) -> float:
@@ -48,38 +48,43 @@
 
     async def wait(
         self,
-        coming: Coroutine[Any, Any, Result],
-        silence_seconds: float | None,
+        awaitable: Coroutine[Any, Any, Result],
+        soft_timeout_seconds: float | None,
     ) -> Result:
         """Return what comes; raise TimeoutError on silence."""
         task = asyncio.current_task()
-        if silence_seconds is None or task is None:
-            return await coming
-        watch = _Watch(task, silence_seconds, self)
+        if soft_timeout_seconds is None or task is None:
+            return await awaitable
+        timer = _SoftTimer(task, soft_timeout_seconds, self)
         try:
-            return await coming
+            return await awaitable
         except asyncio.CancelledError:
-            if watch.is_expired and task.uncancel() <= watch.asked_before:
+            if (
+                timer.is_expired
+                and task.uncancel() <= timer.cancellations_before
+            ):
                 raise TimeoutError from None
             raise
         finally:
-            watch.end()
+            timer.stop()
 
-    def is_over(self, began_at: float, silence_seconds: float) -> bool:
+    def should_expire(
+        self, began_at: float, soft_timeout_seconds: float
+    ) -> bool:
         """Tell whether a wait that found only silence is to end."""
         # Without another attempt to follow the caller would only lose what the
         # silent one may still bring.
-        if not self._may_leave():
+        if not self._may_fail_over():
             return False
         # One that answers others is busy and not dead: its work on this
         # request is worth more than a new start elsewhere. Requests that a
         # failing target never answers end at the second limit.
         now = self._clock.monotonic()
-        is_heard = now - self._last_heard() < silence_seconds
-        return not is_heard or now - began_at >= self._hang_seconds
+        is_active = now - self._last_activity_at() < soft_timeout_seconds
+        return not is_active or now - began_at >= self._hard_timeout_seconds
 
 
-class _Watch:
+class _SoftTimer:
     """End a wait in the task that waits."""
 
     # Not in a task of its own for each wait: streams wait once an event, and
@@ -89,38 +94,40 @@
     __slots__ = (
         '_began_at',
         '_handle',
-        '_patience',
-        '_silence_seconds',
+        '_timeout',
+        '_soft_timeout_seconds',
         '_task',
-        'asked_before',
+        'cancellations_before',
         'is_expired',
     )
 
     def __init__(
         self,
         task: asyncio.Task[Any],
-        silence_seconds: float,
-        patience: Patience,
+        soft_timeout_seconds: float,
+        timeout: ResponseTimeout,
     ) -> None:
         self._task = task
-        self._silence_seconds = silence_seconds
-        self._patience = patience
-        self._began_at = patience.now()
+        self._soft_timeout_seconds = soft_timeout_seconds
+        self._timeout = timeout
+        self._began_at = timeout.now()
         # Others may have asked the task to end before: their wish counts.
-        self.asked_before = task.cancelling()
+        self.cancellations_before = task.cancelling()
         self.is_expired = False
-        self._handle = self._armed()
+        self._handle = self._schedule_check()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self._handle.cancel()
 
-    def _armed(self) -> asyncio.TimerHandle:
+    def _schedule_check(self) -> asyncio.TimerHandle:
         loop = asyncio.get_running_loop()
-        return loop.call_later(self._silence_seconds, self._check)
+        return loop.call_later(self._soft_timeout_seconds, self._check)
 
     def _check(self) -> None:
-        if self._patience.is_over(self._began_at, self._silence_seconds):
+        if self._timeout.should_expire(
+            self._began_at, self._soft_timeout_seconds
+        ):
             self.is_expired = True
             self._task.cancel()
         else:
-            self._handle = self._armed()
+            self._handle = self._schedule_check()
--- a/jacinthfold/request/messages.py
+++ b/jacinthfold/request/messages.py
@@ -6,7 +6,7 @@
 Headers = list[tuple[bytes, bytes]]
 
 # Headers that concern one connection only (RFC 9110, section 7.6.1).
-CONNECTION_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -19,10 +19,10 @@
         b'upgrade',
     )
 )
-FRAMING_HEADERS = CONNECTION_HEADERS | {b'content-length', b'expect'}
+FRAMING_HEADERS = HOP_BY_HOP_HEADERS | {b'content-length', b'expect'}
 
 
-class PromptPart:
+class PrefixSegment:
     """Hold one part of a prompt, which other requests may share."""
 
     __slots__ = ('name', 'tokens')
@@ -33,7 +33,7 @@
         self.tokens = tokens
 
 
-class ChainLink:
+class PromptPrefix:
     """Hold a prompt up to the end of one of its parts."""
 
     __slots__ = ('name', 'tokens')
@@ -48,14 +48,14 @@
     """Hold what a request's headers say about it."""
 
     __slots__ = (
-        '_chain',
+        '_prefixes',
         'caller',
         'host_name',
         'key_digest',
         'last_event_id',
         'output_tokens',
-        'parts',
-        'patience_seconds',
+        'prefix_segments',
+        'caller_timeout_seconds',
         'prompt_tokens',
         'request_id',
     )
@@ -70,32 +70,32 @@
         # Of the key that the caller sent, None without a readable one.
         self.key_digest: bytes | None = None
         # How long the caller will wait; None when it does not say.
-        self.patience_seconds: float | None = None
+        self.caller_timeout_seconds: float | None = None
         self.prompt_tokens = 0
         self.output_tokens = 0
-        self.parts: tuple[PromptPart, ...] = ()
-        self._chain: tuple[ChainLink, ...] | None = None
+        self.prefix_segments: tuple[PrefixSegment, ...] = ()
+        self._prefixes: tuple[PromptPrefix, ...] | None = None
         self.last_event_id = ''
 
     @property
-    def chain(self) -> tuple[ChainLink, ...]:
+    def prefixes(self) -> tuple[PromptPrefix, ...]:
         """Return the prompt up to the end of each of its parts."""
         # A part is kept only with all parts before it, so its name alone
         # would promise too much.
-        if self._chain is None:
-            links = []
+        if self._prefixes is None:
+            prefixes = []
             name, tokens = '', 0
-            for part in self.parts:
-                name = f'{name}/{part.name}'
-                tokens += part.tokens
-                links.append(ChainLink(name, tokens))
-            self._chain = tuple(links)
-        return self._chain
+            for segment in self.prefix_segments:
+                name = f'{name}/{segment.name}'
+                tokens += segment.tokens
+                prefixes.append(PromptPrefix(name, tokens))
+            self._prefixes = tuple(prefixes)
+        return self._prefixes
 
     @property
-    def shared_chain(self) -> tuple[ChainLink, ...]:
+    def shared_prefixes(self) -> tuple[PromptPrefix, ...]:
         """Return the same without the last part, which is the request's."""
-        return self.chain[:-1]
+        return self.prefixes[:-1]
 
 
 class Request:
@@ -106,7 +106,7 @@
         'deadline',
         'facts',
         'headers',
-        'is_paid',
+        'has_permit',
         'is_relayed',
         'method',
         'organisation',
@@ -142,7 +142,7 @@
         # at all: passed on again, two full regions would play ball with it.
         self.is_relayed = False
         # Whether the host that passed it on has a permit for its one run.
-        self.is_paid = False
+        self.has_permit = False
 
     @property
     def priority(self) -> int:
@@ -158,7 +158,7 @@
         return self.priority == 0
 
     @property
-    def is_bound(self) -> bool:
+    def has_residency(self) -> bool:
         """Tell whether only some regions may serve it."""
         return bool(self.route.home_regions or self._organisation_homes)
 
@@ -173,7 +173,7 @@
 
     def allows(self, region: str) -> bool:
         """Tell whether a region may serve it: route and organisation do."""
-        return not self.is_bound or region in self.home_regions
+        return not self.has_residency or region in self.home_regions
 
     @property
     def _organisation_homes(self) -> frozenset[str]:
@@ -182,7 +182,7 @@
         return self.organisation.home_regions
 
 
-class AnswerFacts:
+class ResponseFacts:
     """Hold what a target's headers say about its answer."""
 
     __slots__ = (
@@ -193,8 +193,8 @@
         'is_sealed',
         'limit_per_second',
         'request_id',
-        'rest_seconds',
-        'unreadable',
+        'backoff_seconds',
+        'invalid_headers',
     )
 
     def __init__(self) -> None:
@@ -206,30 +206,30 @@
         self.is_leaving = False
         # For how long it wants nothing from this host, having turned a request
         # away.
-        self.rest_seconds: float | None = None
+        self.backoff_seconds: float | None = None
         # What it asks for in words that can't be read, by header.
-        self.unreadable: dict[str, str] = {}
+        self.invalid_headers: dict[str, str] = {}
         self.is_not_run = False
         self.is_sealed = False
         self.idle_seconds: float | None = None
         self.cold_seconds: float | None = None
 
 
-class AnswerHead:
+class ResponseHead:
     """Hold status and headers of an answer."""
 
-    __slots__ = ('facts', 'headers', 'length', 'status')
+    __slots__ = ('facts', 'headers', 'content_length', 'status')
 
     def __init__(
-        self, status: int, headers: Headers, facts: AnswerFacts
+        self, status: int, headers: Headers, facts: ResponseFacts
     ) -> None:
         """Take the status, the headers as they came and what they say."""
         self.status = status
         self.headers = headers
         self.facts = facts
-        self.length: int | None = None
+        self.content_length: int | None = None
 
-    def passed_headers(self) -> Headers:
+    def end_to_end_headers(self) -> Headers:
         """Return the headers that concern more than one connection."""
         return without_framing(self.headers)
 
--- a/jacinthfold/transport/channel.py
+++ b/jacinthfold/transport/channel.py
@@ -4,7 +4,7 @@
 import socket
 from collections.abc import Callable
 
-from jacinthfold.transport.errors import ConnectFailedError, ConnectionCutError
+from jacinthfold.transport.errors import ConnectFailedError, ConnectionLostError
 
 # Reading stops above this and goes on when it has been taken. Callers' bodies
 # are read as they come, so it bounds what a silent reader can hold.
@@ -23,39 +23,39 @@
     def __init__(self) -> None:
         """Wait to be connected."""
         self._transport: asyncio.Transport | None = None
-        self._arrived = bytearray()
+        self._received = bytearray()
         self._wake_reader: asyncio.Future[None] | None = None
         self._wake_writer: asyncio.Future[None] | None = None
         self._is_paused = False
-        self._is_ended = False
-        self.cut: Exception | None = None
-        self.on_gone: Callable[[], object] | None = None
+        self._is_peer_closed = False
+        self.lost_error: Exception | None = None
+        self.on_peer_closed: Callable[[], object] | None = None
         self.on_data: Callable[[], object] | None = None
         self.local_address = ''
 
     @property
-    def is_gone(self) -> bool:
+    def is_peer_closed(self) -> bool:
         """Tell whether the other side has closed or reset the connection."""
-        return self._is_ended
+        return self._is_peer_closed
 
     @property
-    def has_unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Tell whether bytes came that nobody has read."""
-        return bool(self._arrived)
+        return bool(self._received)
 
     async def read(self) -> bytes:
-        """Return the next bytes, none at the end; raise ConnectionCutError."""
-        while not self._arrived:
-            if self.cut is not None:
-                raise ConnectionCutError(str(self.cut))
-            if self._is_ended:
+        """Return the next bytes, none at the end; raise ConnectionLostError."""
+        while not self._received:
+            if self.lost_error is not None:
+                raise ConnectionLostError(str(self.lost_error))
+            if self._is_peer_closed:
                 return b''
             self._wake_reader = asyncio.get_running_loop().create_future()
             await self._wake_reader
-        taken = bytes(self._arrived)
-        self._arrived.clear()
-        self._resume()
-        return taken
+        content = bytes(self._received)
+        self._received.clear()
+        self._resume_reading()
+        return content
 
     async def write(self, content: bytes) -> None:
         """Send bytes and wait while the other side does not read."""
@@ -67,7 +67,7 @@
     def send(self, content: bytes) -> None:
         """Send bytes without waiting."""
         if self._transport is None or self._is_closed():
-            raise ConnectionCutError('the connection is closed')
+            raise ConnectionLostError('the connection is closed')
         self._transport.write(content)
 
     def close(self) -> None:
@@ -90,25 +90,25 @@
 
     def data_received(self, content: bytes) -> None:
         """Keep what came for the reader."""
-        self._arrived += content
-        too_much = len(self._arrived) > READ_AHEAD_BYTES
+        self._received += content
+        too_much = len(self._received) > READ_AHEAD_BYTES
         if too_much and self._transport is not None:
             self._transport.pause_reading()
-        self._release(self._wake_reader)
+        self._wake(self._wake_reader)
         if self.on_data is not None:
             self.on_data()
 
     def eof_received(self) -> bool:
         """Take that nothing more will come; what we write may still leave."""
-        self._end()
+        self._mark_peer_closed()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Take that the connection has ended."""
         if exc is not None:
-            self.cut = exc
-        self._end()
-        self._release(self._wake_writer)
+            self.lost_error = exc
+        self._mark_peer_closed()
+        self._wake(self._wake_writer)
 
     def pause_writing(self) -> None:
         """Make writers wait."""
@@ -117,22 +117,22 @@
     def resume_writing(self) -> None:
         """Let writers go on."""
         self._is_paused = False
-        self._release(self._wake_writer)
+        self._wake(self._wake_writer)
 
-    def _end(self) -> None:
-        self._is_ended = True
-        self._release(self._wake_reader)
-        if self.on_gone is not None:
-            self.on_gone()
+    def _mark_peer_closed(self) -> None:
+        self._is_peer_closed = True
+        self._wake(self._wake_reader)
+        if self.on_peer_closed is not None:
+            self.on_peer_closed()
 
     def _is_closed(self) -> bool:
         return self._transport is None or self._transport.is_closing()
 
-    def _resume(self) -> None:
+    def _resume_reading(self) -> None:
         if self._transport is not None and not self._is_closed():
             self._transport.resume_reading()
 
-    def _release(self, waiter: asyncio.Future[None] | None) -> None:
+    def _wake(self, waiter: asyncio.Future[None] | None) -> None:
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
 
@@ -144,9 +144,9 @@
         async with asyncio.timeout(timeout_seconds):
             _, channel = await loop.create_connection(Channel, *address)
     except (OSError, TimeoutError) as error:
-        place = f'{address[0]}:{address[1]}'
+        endpoint = f'{address[0]}:{address[1]}'
         raise ConnectFailedError(
-            f'{place}: {error!r}',
+            f'{endpoint}: {error!r}',
             is_refused=isinstance(error, ConnectionRefusedError),
         ) from error
     return channel
--- a/jacinthfold/transport/dialect.py
+++ b/jacinthfold/transport/dialect.py
@@ -3,10 +3,10 @@
 from typing import Protocol
 
 from jacinthfold.request.messages import (
-    AnswerFacts,
     Headers,
     Request,
     RequestFacts,
+    ResponseFacts,
 )
 
 
@@ -16,7 +16,7 @@
     def read_request(self, headers: Headers) -> RequestFacts:
         """Return what a request's headers say; raise ValueError."""
 
-    def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
+    def read_response(self, status: int, headers: Headers) -> ResponseFacts:
         """Return what an answer's headers say."""
 
     def target_headers(
@@ -24,7 +24,7 @@
         request: Request,
         *,
         instance: str,
-        left_seconds: float,
+        remaining_seconds: float,
         last_event_id: str,
     ) -> Headers:
         """Return headers for a target, without framing."""
@@ -32,10 +32,10 @@
     def without_credentials(self, headers: Headers) -> Headers:
         """Return headers that neither hold a key nor say who calls."""
 
-    def copy_headers(self, address: tuple[str, int]) -> Headers:
+    def prefix_copy_headers(self, address: tuple[str, int]) -> Headers:
         """Return headers that have a target copy what another has read."""
 
-    def own_headers(self, request_id: str) -> Headers:
+    def gateway_headers(self, request_id: str) -> Headers:
         """Return headers that every answer of our own carries."""
 
     def retry_headers(self, after_seconds: float) -> Headers:
--- a/jacinthfold/transport/errors.py
+++ b/jacinthfold/transport/errors.py
@@ -14,11 +14,11 @@
         self.is_refused = is_refused
 
 
-class ConnectionCutError(ProxyError):
+class ConnectionLostError(ProxyError):
     """Report that a connection ended before it was due."""
 
 
-class MalformedAnswerError(ProxyError):
+class MalformedResponseError(ProxyError):
     """Report bytes that are no answer to the request."""
 
 
--- a/jacinthfold/transport/exchange.py
+++ b/jacinthfold/transport/exchange.py
@@ -3,12 +3,12 @@
 import h11
 
 from jacinthfold import logs
-from jacinthfold.request.messages import AnswerHead, Headers, first_header
+from jacinthfold.request.messages import Headers, ResponseHead, first_header
 from jacinthfold.transport.channel import Channel
 from jacinthfold.transport.dialect import Dialect
 from jacinthfold.transport.errors import (
-    ConnectionCutError,
-    MalformedAnswerError,
+    ConnectionLostError,
+    MalformedResponseError,
 )
 
 HEAD_LIMIT_BYTES = 65536
@@ -26,8 +26,8 @@
         self._parser = _new_parser()
         self._request_id = ''
         self._method = b'GET'
-        self._is_done = False
-        self.has_heard = False
+        self._is_body_read = False
+        self.has_received = False
         # How long the target keeps the connection when idle, if it says.
         self.idle_seconds: float | None = None
 
@@ -57,44 +57,44 @@
         wire += self._parser.send(h11.EndOfMessage()) or b''
         await self._channel.write(wire)
 
-    async def head(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         """Return the head of the answer to our request."""
         strays = 0
-        answer = await self._next_head()
-        while answer.facts.request_id not in {'', self._request_id}:
+        response = await self._next_head()
+        while response.facts.request_id not in {'', self._request_id}:
             logs.warning(
                 'stray_answer',
                 request=self._request_id,
-                answers=answer.facts.request_id,
+                answers=response.facts.request_id,
             )
             strays += 1
             if strays > STRAY_ANSWER_LIMIT:
-                raise MalformedAnswerError('answers to other requests only')
+                raise MalformedResponseError('answers to other requests only')
             await self._skip_answer()
-            answer = await self._next_head()
-        self.idle_seconds = answer.facts.idle_seconds
-        return answer
+            response = await self._next_head()
+        self.idle_seconds = response.facts.idle_seconds
+        return response
 
-    async def part(self) -> bytes | None:
+    async def read_chunk(self) -> bytes | None:
         """Return the next bytes of the body, or None at its proven end."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
-            self._is_done = True
+            self._is_body_read = True
             return None
-        raise MalformedAnswerError(f'{event!r} inside a body')
+        raise MalformedResponseError(f'{event!r} inside a body')
 
-    async def whole(self, limit_bytes: int) -> bytes:
+    async def read_body(self, limit_bytes: int) -> bytes:
         """Return the whole body."""
         body = bytearray()
         while True:
-            part = await self.part()
-            if part is None:
+            chunk = await self.read_chunk()
+            if chunk is None:
                 return bytes(body)
-            body += part
+            body += chunk
             if len(body) > limit_bytes:
-                raise MalformedAnswerError(f'a body over {limit_bytes} bytes')
+                raise MalformedResponseError(f'a body over {limit_bytes} bytes')
 
     def may_reuse(self) -> bool:
         """Tell whether the connection can carry another request."""
@@ -104,23 +104,28 @@
         )
         # Bytes beyond the answer belong to no request: the next one would
         # take them for its own answer.
-        is_clean = not parser.trailing_data[0] and not self._channel.has_unread
+        is_clean = (
+            not parser.trailing_data[0] and not self._channel.has_unread_bytes
+        )
         return (
-            self._is_done and is_over and is_clean and not self._channel.is_gone
+            self._is_body_read
+            and is_over
+            and is_clean
+            and not self._channel.is_peer_closed
         )
 
-    async def _next_head(self) -> AnswerHead:
+    async def _next_head(self) -> ResponseHead:
         event = await self._next_event()
         while isinstance(event, h11.InformationalResponse):
             event = await self._next_event()
         if not isinstance(event, h11.Response):
-            raise MalformedAnswerError(f'{event!r} in place of an answer')
+            raise MalformedResponseError(f'{event!r} in place of an answer')
         headers: Headers = list(event.headers.raw_items())
-        facts = self._dialect.read_answer(event.status_code, headers)
-        answer = AnswerHead(event.status_code, headers, facts)
+        facts = self._dialect.read_response(event.status_code, headers)
+        response = ResponseHead(event.status_code, headers, facts)
         length = first_header(headers, b'content-length')
-        answer.length = int(length) if length else None
-        return answer
+        response.content_length = int(length) if length else None
+        return response
 
     async def _next_event(self) -> object:
         while True:
@@ -128,26 +133,26 @@
             if event is not h11.NEED_DATA:
                 return event
             content = await self._channel.read()
-            self.has_heard = self.has_heard or bool(content)
-            if not content and not self.has_heard:
-                raise ConnectionCutError('closed before an answer')
+            self.has_received = self.has_received or bool(content)
+            if not content and not self.has_received:
+                raise ConnectionLostError('closed before an answer')
             self._feed(content)
 
     def _parse(self) -> object:
         try:
             return self._parser.next_event()
         except h11.RemoteProtocolError as error:
-            raise MalformedAnswerError(str(error)) from error
+            raise MalformedResponseError(str(error)) from error
 
     def _feed(self, content: bytes) -> None:
         try:
             self._parser.receive_data(content)
         except h11.RemoteProtocolError as error:
-            raise MalformedAnswerError(str(error)) from error
+            raise MalformedResponseError(str(error)) from error
 
     async def _skip_answer(self) -> None:
-        await self.whole(HEAD_LIMIT_BYTES * 16)
-        self._is_done = False
+        await self.read_body(HEAD_LIMIT_BYTES * 16)
+        self._is_body_read = False
         rest = self._parser.trailing_data[0]
         self._parser = _new_parser()
         # The parser must believe that it sent the request whose answer is
--- a/jacinthfold/transport/http_call.py
+++ b/jacinthfold/transport/http_call.py
@@ -4,17 +4,17 @@
 
 from jacinthfold.clock import Clock
 from jacinthfold.request.messages import (
-    AnswerFacts,
-    AnswerHead,
     Headers,
     Request,
     RequestFacts,
+    ResponseFacts,
+    ResponseHead,
 )
-from jacinthfold.transport.errors import MalformedAnswerError, ProxyError
+from jacinthfold.transport.errors import MalformedResponseError, ProxyError
 from jacinthfold.transport.exchange import Exchange
-from jacinthfold.transport.pool import Pool
+from jacinthfold.transport.pool import ConnectionPool
 
-CONNECT_SECONDS = 0.6
+CONNECT_TIMEOUT_SECONDS = 0.6
 BODY_LIMIT_BYTES = 33554432
 _OK = 200
 
@@ -23,7 +23,7 @@
     """Report that no answer came in time; the call may yet be carried out."""
 
 
-class CallAnswer:
+class CallResponse:
     """Hold the answer to a call."""
 
     __slots__ = ('body', 'status')
@@ -40,15 +40,15 @@
     def read_request(self, headers: Headers) -> RequestFacts:
         return RequestFacts('', '')
 
-    def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
-        return AnswerFacts()
+    def read_response(self, status: int, headers: Headers) -> ResponseFacts:
+        return ResponseFacts()
 
     def target_headers(
         self,
         request: Request,
         *,
         instance: str,
-        left_seconds: float,
+        remaining_seconds: float,
         last_event_id: str,
     ) -> Headers:
         return []
@@ -56,44 +56,44 @@
     def without_credentials(self, headers: Headers) -> Headers:
         return headers
 
-    def copy_headers(self, address: tuple[str, int]) -> Headers:
+    def prefix_copy_headers(self, address: tuple[str, int]) -> Headers:
         return []
 
-    def own_headers(self, request_id: str) -> Headers:
+    def gateway_headers(self, request_id: str) -> Headers:
         return []
 
     def retry_headers(self, after_seconds: float) -> Headers:
         return []
 
 
-class HttpCaller:
+class PooledHttpClient:
     """Call one address at a time, over kept connections."""
 
     def __init__(self, clock: Clock) -> None:
         """Start without connections."""
-        self._pool = Pool(clock)
+        self._pool = ConnectionPool(clock)
         self._dialect = _PlainDialect()
 
     async def call(
         self,
-        place: tuple[str, int],
+        endpoint: tuple[str, int],
         method: str,
         target: str,
         body: bytes,
         timeout_seconds: float,
-    ) -> CallAnswer:
+    ) -> CallResponse:
         """Return the answer; raise ProxyError."""
         self._pool.sweep()
-        kept = (*place, '')
-        channel = await self._pool.take(
-            kept, CONNECT_SECONDS, must_be_fresh=False
+        pool_key = (*endpoint, '')
+        channel = await self._pool.acquire(
+            pool_key, CONNECT_TIMEOUT_SECONDS, must_be_fresh=False
         )
         exchange = Exchange(channel, self._dialect)
         is_reusable = False
         try:
             async with asyncio.timeout(timeout_seconds):
-                head, content = await self._carry(
-                    exchange, place, method, target, body
+                head, content = await self._exchange(
+                    exchange, endpoint, method, target, body
                 )
             is_reusable = exchange.may_reuse()
         except TimeoutError as error:
@@ -102,32 +102,34 @@
             ) from error
         finally:
             if is_reusable:
-                self._pool.give_back(kept, channel, None)
+                self._pool.release(pool_key, channel, None)
             else:
                 channel.abort()
-        return CallAnswer(head.status, content)
+        return CallResponse(head.status, content)
 
     async def get(
-        self, place: tuple[str, int], target: str, timeout_seconds: float
+        self, endpoint: tuple[str, int], target: str, timeout_seconds: float
     ) -> bytes:
         """Return the body of a good answer; raise ProxyError."""
-        answer = await self.call(place, 'GET', target, b'', timeout_seconds)
-        if answer.status != _OK:
-            raise MalformedAnswerError(f'status {answer.status}')
-        return answer.body
+        response = await self.call(
+            endpoint, 'GET', target, b'', timeout_seconds
+        )
+        if response.status != _OK:
+            raise MalformedResponseError(f'status {response.status}')
+        return response.body
 
-    async def _carry(
+    async def _exchange(
         self,
         exchange: Exchange,
-        place: tuple[str, int],
+        endpoint: tuple[str, int],
         method: str,
         target: str,
         body: bytes,
-    ) -> tuple[AnswerHead, bytes]:
-        headers: Headers = [(b'Host', f'{place[0]}:{place[1]}'.encode())]
+    ) -> tuple[ResponseHead, bytes]:
+        headers: Headers = [(b'Host', f'{endpoint[0]}:{endpoint[1]}'.encode())]
         if body:
             headers.append((b'Content-Type', b'application/json'))
         await exchange.send(method.encode(), target.encode(), headers, body, '')
-        head = await exchange.head()
-        content = await exchange.whole(BODY_LIMIT_BYTES)
+        head = await exchange.read_head()
+        content = await exchange.read_body(BODY_LIMIT_BYTES)
         return head, content
--- a/tests/gateway/peak.py
+++ b/tests/gateway/peak.py
@@ -5,7 +5,7 @@
 
 from jacinthfold.placement.decision import SendTo
 from jacinthfold.placement.target import Load
-from jacinthfold.request.messages import PromptPart
+from jacinthfold.request.messages import PrefixSegment
 from tests.fakes import FakeClock
 
 # What the sheets say of an engine, and a region's peak as it was recorded.
@@ -93,11 +93,11 @@
         request = scene.request(SYSTEM_TOKENS + SUBJECT_TOKENS + OWN_TOKENS)
         subject = self.random.randrange(SUBJECTS)
         parts = (
-            PromptPart(f'system-{subject % 3}', SYSTEM_TOKENS),
-            PromptPart(f'subject-{subject}', SUBJECT_TOKENS),
-            PromptPart(f'own-{number}', OWN_TOKENS),
+            PrefixSegment(f'system-{subject % 3}', SYSTEM_TOKENS),
+            PrefixSegment(f'subject-{subject}', SUBJECT_TOKENS),
+            PrefixSegment(f'own-{number}', OWN_TOKENS),
         )
-        request.facts.parts = parts
+        request.facts.prefix_segments = parts
         choice = scene.choose(request)
         if not isinstance(choice, SendTo):
             self.refused += 1
--- a/tests/gateway/test_choice.py
+++ b/tests/gateway/test_choice.py
@@ -40,7 +40,7 @@
     """
     scene = Scene()
     request = prompt(scene, 'subject')
-    chain = [link.name for link in request.facts.shared_chain]
+    chain = [link.name for link in request.facts.shared_prefixes]
     for number in range(data.draw(st.integers(2, 9))):
         place = data.draw(st.sampled_from(['n-1', 's-1']))
         target = scene.add(f'i-{number}', data_centre=place)
@@ -51,7 +51,7 @@
     estimator, now = placer._estimator, scene.clock.monotonic()
     targets = scene.targets.all()
     memory = scene.targets.service('model').memory_tokens
-    shared = request.facts.shared_chain
+    shared = request.facts.shared_prefixes
     every = [
         Keeper(one, kept)
         for one in targets
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -9,7 +9,7 @@
 from jacinthfold.fleet.directory import Directory
 from jacinthfold.organisations.credentials import digest_of
 from jacinthfold.organisations.model import Organisation
-from jacinthfold.proxy.key_gate import Barrier, KeyGate
+from jacinthfold.proxy.key_gate import KeyGate, KeyRejection
 from jacinthfold.request.messages import Request, RequestFacts
 from tests.fakes import FakeClock
 from tests.gateway.beating import Fleet
@@ -156,26 +156,31 @@
 
 @pytest.mark.parametrize(
     ('age_seconds', 'barrier'),
-    [(0, None), (4.5, None), (4.7, Barrier.STALE), (60, Barrier.STALE)],
+    [
+        (0, None),
+        (4.5, None),
+        (4.7, KeyRejection.STALE),
+        (60, KeyRejection.STALE),
+    ],
 )
 def test_request_is_not_sent_past_the_bound(age_seconds, barrier):
     """A host was let a request in, and stood still before it sent it."""
     gate, _ = gate_at(age_seconds)
-    assert gate.barrier(request_with(KEY)) is barrier
+    assert gate.rejection(request_with(KEY)) is barrier
 
 
 def test_request_whose_key_went_while_it_waited_is_not_sent():
     gate, made = gate_at(0)
-    assert gate.barrier(request_with(KEY)) is None
+    assert gate.rejection(request_with(KEY)) is None
     made.apply([record(document(tenant('north', OTHER), version=6), 2)], 2)
-    assert gate.barrier(request_with(KEY)) is Barrier.REVOKED
+    assert gate.rejection(request_with(KEY)) is KeyRejection.REVOKED
 
 
 def test_key_that_moved_while_it_waited_is_not_run_for_its_old_holder():
     gate, made = gate_at(0)
     moved = document(tenant('north'), tenant('south', KEY), version=6)
     made.apply([record(moved, 2)], 2)
-    assert gate.barrier(request_with(KEY)) is Barrier.REVOKED
+    assert gate.rejection(request_with(KEY)) is KeyRejection.REVOKED
 
 
 def test_passed_on_request_needs_its_organisation_here():
@@ -183,9 +188,9 @@
     gate, made = gate_at(0)
     request = request_with(KEY)
     request.is_relayed = True
-    assert gate.barrier(request) is None
+    assert gate.rejection(request) is None
     made.apply([record(document(tenant('x', OTHER), version=6), 2)], 2)
-    assert gate.barrier(request) is Barrier.REVOKED
+    assert gate.rejection(request) is KeyRejection.REVOKED
 
 
 def test_unknown_key_is_not_denied_by_old_knowledge():
--- a/tests/gateway/test_kept.py
+++ b/tests/gateway/test_kept.py
@@ -1,15 +1,15 @@
 """What is believed of the parts that a target keeps."""
 
 from jacinthfold.placement.kept import TOLD_SECONDS, KeptParts, RecentUses
-from jacinthfold.request.messages import PromptPart, RequestFacts
+from jacinthfold.request.messages import PrefixSegment, RequestFacts
 
 MEMORY_TOKENS = 100000
 
 
 def chain(*names):
     facts = RequestFacts('id', 'api')
-    facts.parts = tuple(PromptPart(name, 5000) for name in names)
-    return facts.chain
+    facts.prefix_segments = tuple(PrefixSegment(name, 5000) for name in names)
+    return facts.prefixes
 
 
 def test_nothing_is_kept_that_nobody_sent():
--- a/tests/gateway/test_leaving_in_answers.py
+++ b/tests/gateway/test_leaving_in_answers.py
@@ -5,7 +5,7 @@
 from jacinthfold.placement import limits
 from jacinthfold.placement.decision import Refuse
 from jacinthfold.placement.target import Load
-from jacinthfold.request.messages import AnswerFacts, AnswerHead
+from jacinthfold.request.messages import ResponseFacts, ResponseHead
 from tests.gateway.deployment import pause
 from tests.gateway.http_server import Reply
 from tests.gateway.limited_targets import Callers, born_now, start
@@ -58,9 +58,9 @@
 
 
 def answer(*, is_leaving=True, status=200):
-    facts = AnswerFacts()
+    facts = ResponseFacts()
     facts.is_leaving = is_leaving
-    return AnswerHead(status, [], facts)
+    return ResponseHead(status, [], facts)
 
 
 def hear(scene, target, head):
--- a/tests/gateway/test_limit_shares.py
+++ b/tests/gateway/test_limit_shares.py
@@ -11,7 +11,7 @@
 from jacinthfold.placement.returns import LONGEST_SECONDS
 from jacinthfold.proxy.delivery import Delivery
 from jacinthfold.proxy.progress import Progress
-from jacinthfold.request.messages import AnswerFacts, AnswerHead
+from jacinthfold.request.messages import ResponseFacts, ResponseHead
 from tests.gateway.beating import Fleet
 from tests.gateway.limited_targets import (
     CONTACT_SECONDS,
@@ -25,9 +25,9 @@
 
 
 def answer(per_second, status=HTTPStatus.OK):
-    facts = AnswerFacts()
+    facts = ResponseFacts()
     facts.limit_per_second = per_second
-    return AnswerHead(status, [], facts)
+    return ResponseHead(status, [], facts)
 
 
 class Region:
@@ -228,9 +228,9 @@
     request = scene.request()
     progress = Progress(request)
     delivery = Delivery(request, None, progress, None, scene.clock)
-    assert not delivery.barrier_reason
-    delivery.target_barrier = lambda: 'target_limit'
-    assert delivery.barrier_reason == 'target_limit'
+    assert not delivery.rejection_reason
+    delivery.target_rejection = lambda: 'target_limit'
+    assert delivery.rejection_reason == 'target_limit'
 
 
 def test_answer_of_another_target_says_nothing_of_this_one():
--- a/tests/gateway/test_permit_order.py
+++ b/tests/gateway/test_permit_order.py
@@ -44,7 +44,7 @@
     def __init__(self):
         self.sent = []
 
-    async def at_target(self, request, answer, progress, estimate):
+    async def send_to_target(self, request, answer, progress, estimate):
         self.sent.append(request)
         return Outcome(Ending.UNKNOWN, 'gone')
 
@@ -57,7 +57,7 @@
         self.ending = ending
         self.catalogue = None
 
-    async def at_target(self, request, answer, progress, estimate):
+    async def send_to_target(self, request, answer, progress, estimate):
         self.sent.append(request)
         gone = document(tenant('other', 'another-key'), version=6)
         self.catalogue.apply([record(gone, 2)], 2)
@@ -73,7 +73,7 @@
         self.has_started = False
         self.is_finished = False
 
-    async def whole(self, status, headers, body):
+    async def send(self, status, headers, body):
         self.status = status
         self.is_finished = True
 
@@ -81,7 +81,7 @@
 class Dialect:
     """Write no headers."""
 
-    def own_headers(self, request_id):
+    def gateway_headers(self, request_id):
         return []
 
     def retry_headers(self, after_seconds):
@@ -129,7 +129,7 @@
     return asyncio.run(serve())
 
 
-def test_requests_that_wait_for_permits_don_t_push_a_cold_engine():
+def test_requests_that_wait_for_permits_don_t_overload_a_cold_engine():
     """Ten requests come at once for an engine that stands three in a second.
 
     Each waits a moment for its permit. Had it chosen before, all ten would go
@@ -143,7 +143,7 @@
     assert len(attempts.sent) == 1
 
 
-def test_permit_of_a_refused_request_is_returned():
+def test_permit_of_a_rejected_request_is_returned():
     scene = Scene()
     permits, attempts = SlowPermits(), Attempts()
     answers = serve_together(3, scene, permits, attempts)
@@ -154,7 +154,7 @@
 @pytest.mark.parametrize(
     'ending', [Ending.NOT_RUN, Ending.FAILED, Ending.UNKNOWN, Ending.CUT]
 )
-def test_no_repeat_runs_with_a_key_that_went_meanwhile(ending):
+def test_no_retry_runs_with_a_key_revoked_meanwhile(ending):
     """A target turns a request down, fails it or breaks its stream off.
 
     While it did, the key was taken away. Another target stands ready, and the
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -15,7 +15,7 @@
 from jacinthfold.placement.regions import RegionReport, RegionView
 from jacinthfold.placement.target import Load
 from jacinthfold.placement.targets import TargetTable
-from jacinthfold.request.messages import PromptPart, Request, RequestFacts
+from jacinthfold.request.messages import PrefixSegment, Request, RequestFacts
 from tests.fakes import FakeClock
 from tests.gateway.peak import Peak
 
@@ -78,7 +78,7 @@
         return request
 
     def parts(self, *names):
-        return tuple(PromptPart(name, 1000) for name in names)
+        return tuple(PrefixSegment(name, 1000) for name in names)
 
     def choose(self, request, tried=(), tried_regions=()):
         return self.placer.choose(request, tried, tried_regions)
@@ -141,10 +141,10 @@
     for number in range(4):
         scene.add(f'i-{number}')
     request = scene.request(tokens=9000)
-    request.facts.parts = (
-        PromptPart('system', 500),
-        PromptPart('subject', 6000),
-        PromptPart('own', 2500),
+    request.facts.prefix_segments = (
+        PrefixSegment('system', 500),
+        PrefixSegment('subject', 6000),
+        PrefixSegment('own', 2500),
     )
     first = scene.choose(request)
     scene.placer.note_sent(first, request)
@@ -159,7 +159,10 @@
     for number in range(3):
         scene.add(f'i-{number}')
     request = scene.request(tokens=8000)
-    request.facts.parts = (PromptPart('subject', 6000), PromptPart('own', 2000))
+    request.facts.prefix_segments = (
+        PrefixSegment('subject', 6000),
+        PrefixSegment('own', 2000),
+    )
     first = scene.choose(request)
     scene.placer.note_sent(first, request)
     first.estimate.target.own = Load(3, 40000, 40000)
@@ -170,10 +173,10 @@
 def prompt(scene, subject, system='system', own='own', tokens=12000):
     """Return a request with shared parts of 6,000 tokens and one of its own."""
     request = scene.request(tokens=tokens)
-    request.facts.parts = (
-        PromptPart(system, 500),
-        PromptPart(subject, 5500),
-        PromptPart(own, tokens - 6000),
+    request.facts.prefix_segments = (
+        PrefixSegment(system, 500),
+        PrefixSegment(subject, 5500),
+        PrefixSegment(own, tokens - 6000),
     )
     return request
 
@@ -219,7 +222,10 @@
     for number in range(3):
         scene.add(f'i-{number}')
     request = scene.request(tokens=1800)
-    request.facts.parts = (PromptPart('a', 500), PromptPart('own', 1300))
+    request.facts.prefix_segments = (
+        PrefixSegment('a', 500),
+        PrefixSegment('own', 1300),
+    )
     scene.choose(request).estimate.target.own = Load(5, 62000, 62000)
     assert scene.choose(request).estimate.keeper is None
 
--- a/tests/gateway/test_quarantine.py
+++ b/tests/gateway/test_quarantine.py
@@ -79,7 +79,7 @@
     30 ms before and held nothing else: `event=request_placed attempt=1
     target=i-e21b9c64e7 wait_seconds=0 prompt_tokens=731`, and 0.18 s later
     `event=attempt_failed at=i-e21b9c64e7 ending=unknown
-    reason="MalformedAnswerError: peer closed connection" runs=1
+    reason="MalformedResponseError: peer closed connection" runs=1
     last_event_id=""`. A request of 731 tokens was at each of the nine engines
     that ended within sixteen seconds, seen by five hosts of two regions, of
     which none saw more than three.
--- a/tests/gateway/test_rebirth.py
+++ b/tests/gateway/test_rebirth.py
@@ -49,9 +49,9 @@
     assert (again.failing_share, again.slowness) == (0.0, 1.0)
     assert again.ejected_until <= now
     facts = RequestFacts('id', 'api')
-    facts.parts = scene.parts('a', 'b')
-    assert first.kept.tokens(facts.chain, 500000) == 2000
-    assert again.kept.tokens(facts.chain, 500000) == 0
+    facts.prefix_segments = scene.parts('a', 'b')
+    assert first.kept.tokens(facts.prefixes, 500000) == 2000
+    assert again.kept.tokens(facts.prefixes, 500000) == 0
     assert again.cold_until > now
     assert again.place != first.place
     assert scene.targets.forget_gone() == [first]
--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -122,13 +122,13 @@
     assert executions(desk) == [request_id] * 2
 
 
-def test_refusal_of_one_target_is_made_good_at_another(desk):
+def test_request_rejected_by_one_target_runs_at_another(desk):
     script(desk, standin.refuse, standin.serve_plain)
     answers = [desk.ask('north-a', '/order/1', 'POST') for _ in range(6)]
     assert {answer.status for answer in answers} == {200}
 
 
-def test_refusal_of_all_targets_is_told_as_not_run_with_a_time(desk):
+def test_rejection_by_all_targets_is_not_run_with_retry_after(desk):
     script(desk, standin.refuse, standin.refuse)
     answer = desk.ask('north-a', '/order/1', 'POST')
     assert answer.status == 503
@@ -156,13 +156,13 @@
         assert answer.headers['attempt-id'] == request_id
 
 
-def test_late_answer_of_another_request_is_passed_over(desk):
+def test_late_response_to_another_request_is_skipped(desk):
     script(desk, standin.stray_first, standin.stray_first)
     answer = desk.ask('north-a', '/order/1', 'POST')
     assert (answer.status, answer.body) == (200, b'yours')
 
 
-def test_deadline_of_a_request_that_is_out_is_no_refusal(desk):
+def test_deadline_of_a_request_in_flight_is_no_rejection(desk):
     """A target works on past the route's time.
 
     The host sends the final answer then. A 503 would promise that the
@@ -201,7 +201,7 @@
     assert {answer.body for answer in answers} == {b'from i-2'}
 
 
-def test_target_without_a_listener_is_passed_over(desk):
+def test_target_without_a_listener_is_skipped(desk):
     """Connections to one target are refused: nothing was sent there."""
     desk.targets['i-1'].stop()
     answers = [desk.ask('north-a', '/order/1', 'POST') for _ in range(6)]
@@ -302,7 +302,7 @@
     assert 0 < repeats <= 0.2 * 60 + 100 / 14
 
 
-def test_target_can_t_tell_for_an_entry_host_that_nothing_ran(desk):
+def test_outcome_header_of_a_target_is_ignored(desk):
     """A target runs an order and answers with the entry hosts' own word.
 
     Believed, the order would run a second time at another target.
@@ -323,7 +323,7 @@
     assert 'jacinthfold-outcome' not in refused.headers
 
 
-def test_figures_that_no_host_can_add_up_are_refused(desk):
+def test_token_counts_out_of_range_are_rejected(desk):
     """A caller says that its prompt has 10^30 tokens, or less than none.
 
     The figure becomes a part of its host's load. No digest can be written
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -158,7 +158,7 @@
     other.close()
 
 
-def test_silence_ends_no_answer_that_nobody_else_can_bring(engines):
+def test_soft_timeout_does_not_end_the_last_attempt(engines):
     """An engine pauses for 1.4 s in its answer; it is the last attempt.
 
     Left for its silence, the answer ends broken though the rest was on its
@@ -192,7 +192,7 @@
     assert answer.body == whole(3, 5)
 
 
-def test_failure_of_a_repeatable_stream_is_made_good(engines):
+def test_failure_of_a_repeatable_stream_is_retried(engines):
     async def fail_once(target, request, writer):
         for one in engines.targets.values():
             one.script = standin.stream(5)
@@ -204,7 +204,7 @@
     assert (answer.status, answer.body) == (200, whole(1, 5))
 
 
-def test_subject_stays_with_one_engine(engines):
+def test_prompts_with_a_shared_prefix_stay_with_one_engine(engines):
     """Prompts that share their first parts are read where these are kept."""
     for _ in range(6):
         read(engines, '/chat/1')
--- a/tests/gateway/test_target_rest.py
+++ b/tests/gateway/test_target_rest.py
@@ -7,8 +7,8 @@
 from jacinthfold.placement.decision import Refuse
 from jacinthfold.placement.rest import TRIAL_SECONDS
 from jacinthfold.placement.returns import LONGEST_SECONDS
-from jacinthfold.proxy.outcome import told_outcome
-from jacinthfold.request.messages import AnswerFacts, AnswerHead
+from jacinthfold.proxy.outcome import outcome_from_head
+from jacinthfold.request.messages import ResponseFacts, ResponseHead
 from tests.gateway.deployment import pause
 from tests.gateway.http_server import Reply
 from tests.gateway.limited_targets import Callers, born_now, start
@@ -71,10 +71,10 @@
 
 
 def refused(seconds):
-    facts = AnswerFacts()
+    facts = ResponseFacts()
     facts.is_not_run = True
-    facts.rest_seconds = seconds
-    return AnswerHead(503, [], facts)
+    facts.backoff_seconds = seconds
+    return ResponseHead(503, [], facts)
 
 
 def hear(scene, target, head, sent_at=None):
@@ -104,7 +104,7 @@
     assert send(scene) is target
     sent_at = scene.clock.monotonic()
     scene.clock.advance(0.1)
-    hear(scene, target, AnswerHead(200, [], AnswerFacts()), sent_at)
+    hear(scene, target, ResponseHead(200, [], ResponseFacts()), sent_at)
     assert send(scene) is target
     assert send(scene) is target
 
@@ -116,7 +116,7 @@
     sent_at = scene.clock.monotonic()
     scene.clock.advance(0.5)
     hear(scene, target, refused(2.0))
-    hear(scene, target, AnswerHead(200, [], AnswerFacts()), sent_at)
+    hear(scene, target, ResponseHead(200, [], ResponseFacts()), sent_at)
     assert isinstance(send(scene), Refuse)
 
 
@@ -196,6 +196,6 @@
 
 def test_rest_is_not_held_against_a_target():
     """Guards against targets that stay unused long after their rest."""
-    outcome = told_outcome(refused(3.0), is_peer=False)
+    outcome = outcome_from_head(refused(3.0), is_peer=False)
     assert outcome.is_pushback
-    assert not told_outcome(refused(None), is_peer=False).is_pushback
+    assert not outcome_from_head(refused(None), is_peer=False).is_pushback
--- a/tests/gateway/test_translation.py
+++ b/tests/gateway/test_translation.py
@@ -184,9 +184,9 @@
     )
     assert facts.host_name == 'api.example'
     assert facts.request_id == 'x1'
-    assert facts.patience_seconds == 1.5
+    assert facts.caller_timeout_seconds == 1.5
     assert (facts.prompt_tokens, facts.output_tokens) == (1460, 80)
-    assert [part.tokens for part in facts.parts] == [800, 410, 250]
+    assert [part.tokens for part in facts.prefix_segments] == [800, 410, 250]
     assert facts.last_event_id == '12'
 
 
@@ -196,7 +196,7 @@
     request = Request(b'GET', b'/', headers, b'', dialect.read_request(headers))
     made = dict(
         dialect.target_headers(
-            request, instance='i-1', left_seconds=1.234, last_event_id=''
+            request, instance='i-1', remaining_seconds=1.234, last_event_id=''
         )
     )
     assert made[b'Request-Deadline'] == b'1234'
@@ -325,18 +325,18 @@
 )
 def test_limit_is_a_positive_number_or_unreadable(contents, per_second):
     headers = [(b'Server-Limit', content) for content in contents]
-    facts = PlatformDialect().read_answer(200, headers)
+    facts = PlatformDialect().read_response(200, headers)
     assert facts.limit_per_second == per_second
     is_unreadable = per_second is None and bool(contents)
-    assert bool(facts.unreadable) >= is_unreadable
+    assert bool(facts.invalid_headers) >= is_unreadable
 
 
 @given(LIMITS)
 def test_any_limit_is_read_or_shown(contents):
     headers = [(b'server-limit', content) for content in contents]
-    facts = PlatformDialect().read_answer(200, headers)
+    facts = PlatformDialect().read_response(200, headers)
     assert facts.limit_per_second is not None or (
-        bool(facts.unreadable) == bool(contents)
+        bool(facts.invalid_headers) == bool(contents)
     )
 
 
@@ -354,9 +354,9 @@
 )
 def test_leaving_is_said_by_one_word(contents, is_leaving, is_unreadable):
     headers = [(b'Server-Leaving', content) for content in contents]
-    facts = PlatformDialect().read_answer(200, headers)
+    facts = PlatformDialect().read_response(200, headers)
     assert facts.is_leaving is is_leaving
-    assert bool(facts.unreadable) is is_unreadable
+    assert bool(facts.invalid_headers) is is_unreadable
 
 
 @pytest.mark.parametrize(
@@ -379,7 +379,7 @@
 )
 def test_rest_is_a_bounded_number(contents, rest_seconds, is_unreadable):
     headers = [(b'Retry-After', content) for content in contents]
-    facts = PlatformDialect().read_answer(503, headers)
-    assert facts.rest_seconds == rest_seconds
-    assert bool(facts.unreadable) is is_unreadable
-    assert PlatformDialect().read_answer(429, headers).rest_seconds is None
+    facts = PlatformDialect().read_response(503, headers)
+    assert facts.backoff_seconds == rest_seconds
+    assert bool(facts.invalid_headers) is is_unreadable
+    assert PlatformDialect().read_response(429, headers).backoff_seconds is None
--- a/tools/ablations/decisions.py
+++ b/tools/ablations/decisions.py
@@ -99,8 +99,8 @@
         [
             (
                 'proxy/delivery.py',
-                '        return self._progress.barrier_reason() or self.target_barrier()',
-                '        return self._progress.barrier_reason()',
+                '        return self._progress.rejection_reason() or self.target_rejection()',
+                '        return self._progress.rejection_reason()',
             ),
         ],
         GATEWAY
--- a/tools/ablations/gateway.py
+++ b/tools/ablations/gateway.py
@@ -10,24 +10,24 @@
         [
             (
                 'proxy/delivery.py',
-                '        self._progress.is_out = True',
-                '        self._progress.is_out = False',
+                '        self._progress.is_in_flight = True',
+                '        self._progress.is_in_flight = False',
             ),
         ],
         GATEWAY
-        + 'test_requests.py::test_deadline_of_a_request_that_is_out_is_no_refusal',
+        + 'test_requests.py::test_deadline_of_a_request_in_flight_is_no_rejection',
     ),
     Ablation(
         'gateway: a late answer of another request is passed over',
         [
             (
                 'transport/exchange.py',
-                "while answer.facts.request_id not in {'', self._request_id}:",
+                "while response.facts.request_id not in {'', self._request_id}:",
                 'while False:',
             ),
         ],
         GATEWAY
-        + 'test_requests.py::test_late_answer_of_another_request_is_passed_over',
+        + 'test_requests.py::test_late_response_to_another_request_is_skipped',
     ),
     Ablation(
         'gateway: a stream goes on behind the last whole event',
@@ -138,7 +138,7 @@
         [
             (
                 'proxy/progress.py',
-                'return self.is_out or self.runs > 0',
+                'return self.is_in_flight or self.runs > 0',
                 'return False',
             ),
         ],
@@ -215,9 +215,9 @@
         'gateway: a busy engine keeps its request',
         [
             (
-                'proxy/patience.py',
-                'is_heard = now - self._last_heard() < silence_seconds',
-                'is_heard = False',
+                'proxy/response_timeout.py',
+                'is_active = now - self._last_activity_at() < soft_timeout_seconds',
+                'is_active = False',
             ),
         ],
         GATEWAY + 'test_streams.py',
@@ -226,8 +226,8 @@
         'gateway: silence ends no answer that nobody else can bring',
         [
             (
-                'proxy/patience.py',
-                'if not self._may_leave():',
+                'proxy/response_timeout.py',
+                'if not self._may_fail_over():',
                 'if False:',
             ),
         ],
--- a/tools/ablations/organisations.py
+++ b/tools/ablations/organisations.py
@@ -58,7 +58,7 @@
         [
             (
                 'proxy/key_gate.py',
-                'return self.age_seconds <= self._bound_seconds - MARGIN_SECONDS',
+                'return self.age_seconds <= self._bound_seconds - AGE_MARGIN_SECONDS',
                 'return True',
             )
         ],
@@ -69,7 +69,7 @@
         [
             (
                 'proxy/key_gate.py',
-                'return None if is_same else Barrier.REVOKED',
+                'return None if is_same else KeyRejection.REVOKED',
                 'return None',
             )
         ],
@@ -178,11 +178,12 @@
             ),
             (
                 'proxy/forwarding.py',
-                '        return await self._try_once(request, answer, progress, choice)',
-                '        if not await self._admission.is_permitted(request, progress):\n            return False\n        return await self._try_once(request, answer, progress, choice)',
+                '        return await self._try_once(request, response, progress, choice)',
+                '        if not await self._admission.is_permitted(request, progress):\n            return False\n        return await self._try_once(request, response, progress, choice)',
             ),
         ],
-        ORDER + 'test_requests_that_wait_for_permits_don_t_push_a_cold_engine',
+        ORDER
+        + 'test_requests_that_wait_for_permits_don_t_overload_a_cold_engine',
     ),
     Ablation(
         'cold engines: hosts that have just started keep quiet',
