--- a/jacinthfold/proxy/__init__.py
+++ b/jacinthfold/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Take callers' requests, send them to targets and bring answers back."""
+"""Accept callers' requests, send them to targets and return the responses."""
--- a/jacinthfold/proxy/admission.py
+++ b/jacinthfold/proxy/admission.py
@@ -1,4 +1,4 @@
-"""Look at key, cap and quarantine before each send of a request."""
+"""Check key, cap and quarantine before each send of a request."""
 
 from functools import partial
 from http import HTTPStatus
@@ -12,10 +12,10 @@
 from jacinthfold.quota.permits import Permit, Permits
 from jacinthfold.request.messages import Request
 
-# Hosts that know the store's state are named by the directory; a caller that
-# asks it again has one within this.
+# The directory names hosts with a fresh view of the store; a caller that asks
+# it again reaches one within this time.
 STALE_RETRY_AFTER_SECONDS = 0.3
-# Only a new configuration can change it.
+# Only a new configuration can resolve this, so an early retry is useless.
 NO_REGION_RETRY_AFTER_SECONDS = 30.0
 
 
@@ -29,23 +29,23 @@
         permits: Permits,
         metrics: ProxyMetrics,
     ) -> None:
-        """Take who knows keys, bad requests and caps."""
+        """Store the checks for keys, quarantined requests and caps."""
         self.gate = gate
         self._quarantine = quarantine
         self._permits = permits
         self._metrics = metrics
 
     def start_progress(self, request: Request) -> Progress:
-        """Return the progress of a request that may not outlive its key."""
+        """Return the progress of a request that is rejected without its key."""
         progress = Progress(request)
         progress.rejection_reason = partial(self._rejection_reason, request)
         return progress
 
     def is_rejected(self, request: Request, progress: Progress) -> bool:
-        """Tell whether a request is refused whatever room there is."""
+        """Check whether a request is rejected regardless of spare capacity."""
         if request.has_residency and not request.home_regions:
-            # Route and organisation have no home in common. Told to return
-            # soon, callers would ask again and again for nothing.
+            # Route and organisation share no home region. With a short
+            # Retry-After, callers would retry again and again in vain.
             progress.record_admission_rejection(
                 'no_region',
                 HTTPStatus.SERVICE_UNAVAILABLE,
@@ -57,9 +57,9 @@
         if rejection is not None:
             self._record_key_rejection(request, progress, rejection)
             return True
-        # One that ends targets comes again under another identifier, at any
-        # host. Before each send: since the last attempt other hosts may have
-        # seen more of them end.
+        # A request that crashes targets is retried under another identifier
+        # at any host. Checked before each send, because other hosts may have
+        # reported more crashes since the last attempt.
         refusal = self._quarantine.refusal(request)
         if refusal is None:
             return False
@@ -69,7 +69,7 @@
         return True
 
     async def is_permitted(self, request: Request, progress: Progress) -> bool:
-        """Tell whether the organisation's cap has room for another run."""
+        """Check whether the organisation's cap permits another run."""
         organisation = request.organisation
         if organisation is None or organisation.cap is None:
             return True
@@ -82,8 +82,8 @@
         if isinstance(response, Permit):
             progress.permit = response
             return True
-        # 503 where nobody can tell what the cap still allows: the
-        # organisation has not asked for too much.
+        # 503 when it is unknown what the cap still allows: the organisation
+        # has not exceeded its cap.
         reason, status = 'no_share', HTTPStatus.SERVICE_UNAVAILABLE
         if response.is_over:
             reason, status = 'over_cap', HTTPStatus.TOO_MANY_REQUESTS
@@ -103,7 +103,7 @@
         return False
 
     def release_unused_permit(self, progress: Progress) -> None:
-        """Return a permit that no run used."""
+        """Release a permit that no run used."""
         if not progress.is_in_flight:
             self._permits.give_back(progress.permit)
 
--- a/jacinthfold/proxy/attempts.py
+++ b/jacinthfold/proxy/attempts.py
@@ -1,4 +1,4 @@
-"""Send a request to a target or to another region's host, once."""
+"""Make one attempt: send a request to a target or to another region's host."""
 
 import random
 from collections.abc import Callable
@@ -26,31 +26,33 @@
 from jacinthfold.transport.exchange import Exchange
 from jacinthfold.transport.pool import ConnectionPool, Endpoint
 
-# Targets are in the same region, under 1 ms away: three lost packets' worth.
+# Targets are in the same region, under 1 ms away; this leaves time for three
+# lost packets.
 CONNECT_TIMEOUT_SECONDS = 0.4
-# Other regions are 110 ms there and back.
+# The round trip to other regions takes 110 ms.
 REGION_CONNECT_TIMEOUT_SECONDS = 0.7
-# Repeatable requests are taken away from a target that says nothing for
-# this many times the aim, while the caller still has time for another.
+# The soft timeout, in latency objectives: repeatable requests move from a
+# silent target to another one while their caller still waits.
 SOFT_TIMEOUT_FACTOR = 1.5
 MIN_SOFT_TIMEOUT_SECONDS = 0.8
-# The same for a target that answers others meanwhile: callers leave a stream
-# without an event after four aims, and the last one is left for another try.
+# The hard timeout, for a target that answers other requests meanwhile: callers
+# abandon a stream without an event after four objectives, and the last of them
+# is left for another attempt.
 HARD_TIMEOUT_FACTOR = 3.0
 
 
 class RegionHosts(Protocol):
-    """Know the entry hosts of other regions."""
+    """Look up the entry hosts of other regions."""
 
     def serving(self, region: str) -> list[HostRecord]:
-        """Return hosts of a region that take requests."""
+        """Return the hosts of a region that accept requests."""
 
     def heard_at(self, name: str) -> float:
-        """Return when a host was last heard."""
+        """Return when the last message from a host arrived."""
 
 
 class Attempts:
-    """Carry out single attempts and note what they showed of targets."""
+    """Make single attempts and update the targets' statistics from them."""
 
     def __init__(
         self,
@@ -60,17 +62,17 @@
         budgets: RetryBudgets,
         dialect: Dialect,
         metrics: ProxyMetrics,
-        witness: Witness,
+        crash_detector: Witness,
         clock: Clock,
     ) -> None:
-        """Take the connections and the parts that learn from attempts."""
+        """Store the connections and what is updated from attempts."""
         self._pool = pool
         self._hosts = hosts
         self._regions = regions
         self._budgets = budgets
         self._dialect = dialect
         self._metrics = metrics
-        self._witness = witness
+        self._crash_detector = crash_detector
         self._clock = clock
         self._random = random.Random()
 
@@ -81,7 +83,7 @@
         progress: Progress,
         estimate: Estimate,
     ) -> Outcome:
-        """Send a request to a target and deliver its answer."""
+        """Send a request to a target and deliver its response."""
         target = estimate.target
         headers = self._dialect.target_headers(
             request,
@@ -97,7 +99,7 @@
             request, progress, lambda: target.heard_at
         )
         delivery = Delivery(request, response, progress, timeout, self._clock)
-        attempt = self._witness.begin(request, target, delivery.withdraw)
+        attempt = self._crash_detector.begin(request, target, delivery.withdraw)
         delivery.on_activity = partial(attempt.note_heard, self._clock)
         began_at = self._clock.monotonic()
         load = in_flight_load.InFlightLoad(estimate, request)
@@ -118,7 +120,7 @@
             )
         finally:
             load.release()
-            self._witness.note_over(
+            self._crash_detector.note_over(
                 attempt,
                 delivery.first_event_at,
                 is_broken=delivery.is_broken,
@@ -134,7 +136,7 @@
         progress: Progress,
         region: RemoteRegion,
     ) -> Outcome:
-        """Pass a request to a host of another region."""
+        """Relay a request to a host of another region."""
         host = self._choose_host(region)
         if host is None:
             return Outcome(Ending.NOT_RUN, 'no_host_in_region')
@@ -241,10 +243,10 @@
     ) -> Outcome:
         reason = delivery.rejection_reason
         if reason:
-            # The wait for a connection may have been long.
+            # Checked again, since the wait for a connection may have been long.
             return Outcome(Ending.NOT_RUN, reason, is_rejected_locally=True)
-        # From here on nobody can say that the request has not run, whatever
-        # ends this attempt: a deadline or the caller's leaving too.
+        # From here on the request may have run, however this attempt ends,
+        # also by its deadline or because the caller disconnects.
         delivery.mark_in_flight()
         await exchange.send(
             request.method,
@@ -261,8 +263,8 @@
         return outcome
 
     def _release(self, endpoint: Endpoint, exchange: Exchange) -> None:
-        # A connection whose request was given up on may still bring its
-        # answer; nobody else may be given that.
+        # A connection whose request was abandoned may still deliver its
+        # response, which no other request may receive.
         if exchange.may_reuse():
             self._pool.release(
                 endpoint, exchange.channel, exchange.idle_seconds
--- a/jacinthfold/proxy/caller_response.py
+++ b/jacinthfold/proxy/caller_response.py
@@ -1,4 +1,4 @@
-"""Hold a caller's request as it was read, and write the answer to it."""
+"""Hold a caller's request as it was read, and write the response to it."""
 
 import h11
 
@@ -15,7 +15,7 @@
     def __init__(
         self, method: bytes, target: bytes, headers: Headers, body: bytes
     ) -> None:
-        """Take the parts as they came."""
+        """Store the parts of the request as they were received."""
         self.method = method
         self.target = target
         self.headers = headers
@@ -23,16 +23,16 @@
 
 
 class CallerDisconnectedError(Exception):
-    """Report that the caller has left while its answer was written."""
+    """Report that the caller disconnected while its response was written."""
 
 
 class CallerResponse:
-    """Write one answer to a caller."""
+    """Write one response to a caller."""
 
     def __init__(
         self, channel: Channel, parser: h11.Connection, is_head: bool
     ) -> None:
-        """Take the connection and the state of its protocol."""
+        """Store the connection and the state of its parser."""
         self._channel = channel
         self._parser = parser
         self._is_head = is_head
@@ -42,7 +42,7 @@
         self.closes_connection = False
 
     async def send(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send an answer whose body is known."""
+        """Send a complete response; raise CallerDisconnectedError."""
         framed = [*headers, (b'Content-Length', str(len(body)).encode())]
         content = self._head(status, framed)
         if body and not self._is_head:
@@ -52,15 +52,15 @@
         self.is_finished = True
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose length is not known."""
+        """Send the head of a response of unknown length."""
         await self._write(self._head(status, headers))
 
     async def write(self, content: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
         await self._write(self._parser.send(h11.Data(data=content)) or b'')
 
     async def finish(self) -> None:
-        """Send the end mark, which makes the answer whole."""
+        """Send the end of the body, which marks the response as complete."""
         await self._write(self._end())
         self.is_finished = True
 
--- a/jacinthfold/proxy/delivery.py
+++ b/jacinthfold/proxy/delivery.py
@@ -1,4 +1,4 @@
-"""Bring a target's answer to the caller, whole or visibly broken."""
+"""Deliver a target's response to the caller, complete or visibly truncated."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -15,16 +15,16 @@
 from jacinthfold.transport.errors import ProxyError
 from jacinthfold.transport.exchange import Exchange
 
-# Plain answers are held until they are proven whole; this bounds one.
+# Responses other than streams are buffered until they are complete.
 MAX_BUFFERED_BODY_BYTES = 16777216
-# A stream that may be resumed is taken away from a target that makes no
-# event for this many of the longest pauses that callers accept.
+# A resumable stream moves to another target after a pause of this many times
+# the longest one that callers accept.
 GAP_TIMEOUT_FACTOR = 3.0
 MIN_GAP_TIMEOUT_SECONDS = 0.9
 
 
 class Delivery:
-    """Hold the way of one answer."""
+    """Deliver the response of one attempt."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         timeout: ResponseTimeout,
         clock: Clock,
     ) -> None:
-        """Take both ends, and how long the answer is waited for."""
+        """Store the request, its response and the timeout of the attempt."""
         self._request = request
         self._response = response
         self._progress = progress
@@ -42,36 +42,36 @@
         self._clock = clock
         self.limit_bytes = MAX_BUFFERED_BODY_BYTES
         self.first_event_at = 0.0
-        # Only another entry host may tell how a request ended in our words; a
-        # target that did could make an order that ran look not run.
+        # Only entry hosts may report an outcome by the internal header: from a
+        # target, it could make a request that ran look as if it had not.
         self.is_peer = False
-        # Whether the other side broke the connection before the answer's end.
+        # Whether the peer closed the connection before the response ended.
         self.is_broken = False
         self.channel: Channel | None = None
         self._is_withdrawn = False
         self.on_first_event: Callable[[], None] | None = None
         self.on_activity: Callable[[], None] = _ignore_activity
         self.on_head: Callable[[ResponseHead], None] = _ignore_head
-        # Says why the target may not be sent to any more.
+        # Returns why nothing may be sent to the target now, or ''.
         self.target_rejection: Callable[[], str] = str
 
     @property
     def rejection_reason(self) -> str:
-        """Return why the request may not be sent now, nothing if it may."""
+        """Return why the request may not be sent now, or an empty string."""
         return self._progress.rejection_reason() or self.target_rejection()
 
     def mark_in_flight(self) -> None:
-        """Take that the request's first byte is about to leave."""
+        """Record that the request's first byte is about to be sent."""
         self._progress.is_in_flight = True
 
     def withdraw(self) -> None:
-        """Take the request back from where it was sent."""
+        """Abort the connection to cancel the request at its target."""
         if self.channel is not None:
             self._is_withdrawn = True
             self.channel.abort()
 
     async def read_head(self, exchange: Exchange) -> ResponseHead:
-        """Return the head of an answer; raise TimeoutError on silence."""
+        """Return the head of the response; raise TimeoutError on silence."""
         head = await self._timeout.wait(
             exchange.read_head(), self._timeout.soft_timeout_seconds
         )
@@ -80,7 +80,7 @@
         return head
 
     async def deliver(self, exchange: Exchange, head: ResponseHead) -> Outcome:
-        """Bring an answer to the caller."""
+        """Deliver the response to the caller."""
         if self._request.route.is_stream and head.status == HTTPStatus.OK:
             return await self._deliver_events(exchange, head)
         body = await self._timeout.wait(
@@ -97,7 +97,7 @@
         return Outcome(Ending.DELIVERED)
 
     def broken_outcome(self, error: ProxyError) -> Outcome:
-        """Return the outcome of an attempt whose answer did not end."""
+        """Return the outcome of an attempt whose response is incomplete."""
         is_peer_closed = (
             self.channel is not None and self.channel.is_peer_closed
         )
@@ -137,7 +137,7 @@
         await self._response.write(events)
 
     def _record_first_event(self) -> None:
-        # A stream that goes on at another target has begun before.
+        # A stream that was resumed at another target has begun before.
         if self._progress.first_event_seconds is None:
             elapsed = self.first_event_at - self._request.received_at
             self._progress.first_event_seconds = elapsed
@@ -157,8 +157,8 @@
 
 
 def _ignore_activity() -> None:
-    """Hear of nothing."""
+    """Do nothing when bytes arrive."""
 
 
 def _ignore_head(_: ResponseHead) -> None:
-    """Take an answer's head and keep nothing of it."""
+    """Do nothing with the head of a response."""
--- a/jacinthfold/proxy/events.py
+++ b/jacinthfold/proxy/events.py
@@ -1,42 +1,42 @@
-"""Split a stream of server-sent events, so that only whole ones are passed."""
+"""Split a stream of server-sent events to forward only complete ones."""
 
 _BLANK_LINES = (b'\n\n', b'\r\n\r\n')
 _ID_FIELD = b'id:'
 
 
 class EventSplitter:
-    """Collect bytes into whole events and follow their identifiers."""
+    """Assemble bytes into complete events and track their identifiers."""
 
     def __init__(self, last_event_id: str = '') -> None:
-        """Take the identifier after which events are wanted."""
+        """Start after the event with this identifier."""
         self._incomplete = b''
         self.last_event_id = last_event_id
         self.count = 0
 
     @property
     def incomplete(self) -> bytes:
-        """Return bytes of an event that is not whole."""
+        """Return the bytes of the last, incomplete event."""
         return self._incomplete
 
     def feed(self, content: bytes) -> bytes:
-        """Return the whole events that bytes have completed."""
+        """Return the events that these bytes complete."""
         self._incomplete += content
-        passed: list[bytes] = []
+        wanted_events: list[bytes] = []
         while True:
             end = _event_end(self._incomplete)
             if end < 0:
-                return b''.join(passed)
+                return b''.join(wanted_events)
             event = self._incomplete[:end]
             self._incomplete = self._incomplete[end:]
             if self._is_wanted(event):
-                passed.append(event)
+                wanted_events.append(event)
 
     def _is_wanted(self, event: bytes) -> bool:
         event_id = _event_id(event)
         if not event_id:
             return True
-        # A target that goes on with a stream may begin with the event that
-        # the caller has; passed on, the text would repeat.
+        # A target that resumes a stream may begin with an event that the
+        # caller already has; forwarded again, the text would repeat.
         if _is_seen(event_id, self.last_event_id):
             return False
         self.last_event_id = event_id
--- a/jacinthfold/proxy/forwarding.py
+++ b/jacinthfold/proxy/forwarding.py
@@ -1,4 +1,4 @@
-"""Carry a request through its attempts until it has a final answer."""
+"""Run a request's attempts until it has a final response."""
 
 import asyncio
 from http import HTTPStatus
@@ -26,18 +26,18 @@
 from jacinthfold.request.messages import Headers, Request
 from jacinthfold.transport.dialect import Dialect
 
-# Callers heed a return time of at most a third of what they have left.
+# Callers honour a Retry-After of at most a third of their remaining time.
 RETRY_AFTER_SHARE = 0.3
 QUARANTINED_BODY = (
     b'error: not run: targets ended under this request again and again; '
     b'it is refused until the time given to come back\n'
 )
-# Sends of one request that may be turned down before it is refused.
+# Sends of one request that may end as not run before the request is rejected.
 MAX_NOT_RUN_SENDS = 3
 
 
 class Forwarder:
-    """Serve requests: choose, send, repeat where that is allowed, answer."""
+    """Serve requests: choose, send, retry where that is allowed, respond."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         metrics: ProxyMetrics,
         clock: Clock,
     ) -> None:
-        """Take who decides, who sends, and what may be sent again."""
+        """Store what places, sends, limits and admits requests."""
         self._placer = placer
         self._attempts = attempts
         self._budgets = budgets
@@ -61,7 +61,7 @@
         self._clock = clock
 
     async def serve(self, request: Request, response: CallerResponse) -> None:
-        """Answer a request; leave the answer open if it broke midway."""
+        """Serve a request; a response that broke midway stays unfinished."""
         progress = self._admission.start_progress(request)
         remaining_seconds = request.deadline - self._clock.monotonic()
         try:
@@ -86,11 +86,12 @@
     async def _attempt_next(
         self, request: Request, response: CallerResponse, progress: Progress
     ) -> bool:
-        """Decide, and make one attempt; tell whether another may follow."""
+        """Admit, place and send once; return whether to attempt again."""
         if self._admission.is_rejected(request, progress):
             return False
-        # Before the choice: while one request waits for its permit others
-        # would choose the same cold target, each as the first in its pace.
+        # The permit comes before the choice: while one request waited for its
+        # permit, others would choose the same cold target, each as if it were
+        # the first to be sent there.
         if not await self._admission.is_permitted(request, progress):
             return False
         choice = self._placer.choose(
@@ -111,7 +112,7 @@
         progress: Progress,
         choice: Choice,
     ) -> bool:
-        """Make one attempt; tell whether another one may follow."""
+        """Make one attempt; return whether another one may follow."""
         request_log.log_choice(request, choice, progress)
         outcome = await self._attempt(request, response, progress, choice)
         progress.record_attempt(choice, outcome)
@@ -143,11 +144,11 @@
             return await self._attempts.relay_to_region(
                 request, response, progress, choice.region
             )
-        raise TypeError(f'no attempt follows {choice!r}')
+        raise TypeError(f'cannot make an attempt for {choice!r}')
 
     def _may_send(self, request: Request, progress: Progress) -> bool:
         if progress.sends == 0:
-            # The host that got the request from its caller counts it.
+            # A relayed request counts at the host that its caller sent it to.
             if not request.is_relayed:
                 self._budgets.note_request(request.service_name)
             return True
@@ -177,7 +178,7 @@
     async def _send_failure(
         self, request: Request, response: CallerResponse, progress: Progress
     ) -> None:
-        """Send the final answer of a request that was not served."""
+        """Send the final response to a request that was not served."""
         if response.has_started:
             return
         failed = progress.failed_outcome
@@ -225,8 +226,8 @@
         progress: Progress,
         base_headers: Headers,
     ) -> None:
-        # 429 and not 503: the service is well, and it is this request that
-        # must stop coming. Well-made clients wait for as long as they are told.
+        # 429 instead of 503: the service is healthy, and only this request must
+        # not be retried. Well-behaved clients honour Retry-After.
         retry = self._dialect.retry_headers(progress.after_seconds)
         headers = [*base_headers, *retry, (b'Content-Type', b'text/plain')]
         await response.send(
--- a/jacinthfold/proxy/in_flight_load.py
+++ b/jacinthfold/proxy/in_flight_load.py
@@ -1,14 +1,14 @@
-"""Count a request's load on a target while it is there."""
+"""Account for the load of requests in flight at a target."""
 
 from jacinthfold.placement.estimates import Estimate
 from jacinthfold.request.messages import Request
 
 
 class InFlightLoad:
-    """Count a request's load on a target while it is there."""
+    """Add a request's load to its target while the request is in flight."""
 
     def __init__(self, estimate: Estimate, request: Request) -> None:
-        """Take what is expected of it, and count it."""
+        """Add the estimated load of the request to its target."""
         facts = request.facts
         target = estimate.target
         self._target = target
@@ -21,14 +21,14 @@
         target.own.held_tokens += self._held_tokens
 
     def record_prefilled(self) -> None:
-        """Take that the prompt has been read."""
+        """Remove the pending prefill tokens: the prompt has been prefilled."""
         self._target.own.unread_tokens -= self._prefill_tokens
         self._target.own.urgent_tokens -= self._urgent_tokens
         self._prefill_tokens = 0
         self._urgent_tokens = 0
 
     def release(self) -> None:
-        """Take that the request has ended."""
+        """Remove the load of the request, which has ended."""
         self.record_prefilled()
         self._target.own.requests -= 1
         self._target.own.held_tokens -= self._held_tokens
--- a/jacinthfold/proxy/key_gate.py
+++ b/jacinthfold/proxy/key_gate.py
@@ -1,4 +1,4 @@
-"""Decide whose requests may run by what is known of keys, and how old it is."""
+"""Decide whose requests may run, by the known keys and their age."""
 
 from enum import Enum
 
@@ -6,72 +6,72 @@
 from jacinthfold.organisations.model import Organisation
 from jacinthfold.request.messages import Request
 
-# Kept of the bound: from the look at the age to a request's last byte at a
-# target, on a host that is short of processor time.
+# Reserved from the bound for the time between the check of the age and a
+# request's last byte at a target, on a host that is short of processor time.
 AGE_MARGIN_SECONDS = 0.4
-# A key that isn't known may be new: denied only by hosts that hear of new keys
-# by now, since callers don't come back after that.
+# An unknown key may be new. Callers don't retry after a 401, so only hosts
+# whose keys are no older than this deny one.
 MAX_DENY_AGE_SECONDS = 2.0
 
 
 class KeyRejection(Enum):
-    """Say why a request that was let in may not be sent any more."""
+    """Name why an admitted request may no longer be sent."""
 
     STALE = 'keys_stale'
     REVOKED = 'key_revoked'
 
 
 class KeyGate:
-    """Let requests in by their key."""
+    """Admit requests by their API key."""
 
     def __init__(
         self, catalogue: Catalogue, bound_seconds: float | None
     ) -> None:
-        """Take what is known, and how old it may be; None for any age."""
+        """Store the catalogue and the maximum age of its keys, None for any."""
         self._catalogue = catalogue
         self._bound_seconds = bound_seconds
 
     @property
     def age_seconds(self) -> float:
-        """Return how old the knowledge of keys may be."""
+        """Return the maximum age of the known keys, in seconds."""
         return self._catalogue.freshness.age_seconds
 
     @property
     def is_bounded(self) -> bool:
-        """Tell whether keys that are taken away must end within a time."""
+        """Check whether revoked keys must stop working within a bound."""
         return self._bound_seconds is not None
 
     @property
     def is_fresh(self) -> bool:
-        """Tell whether a key that was taken away would be known here."""
-        # A host that is cut off would go on serving a key that its holder had
-        # taken away. Past the bound it serves no key at all: a good one is
-        # served by other hosts, a bad one nowhere.
+        """Check whether the known keys are recent enough to serve by."""
+        # A partitioned host would continue to serve a revoked key. Past the
+        # bound it serves no key at all: valid ones are served by other hosts,
+        # revoked ones by none.
         if self._bound_seconds is None:
             return True
         return self.age_seconds <= self._bound_seconds - AGE_MARGIN_SECONDS
 
     @property
     def may_deny(self) -> bool:
-        """Tell whether an unknown key is surely unknown to the operator."""
+        """Check whether the known keys are recent enough to deny others."""
         if self._bound_seconds is None:
             return True
         return self.age_seconds <= MAX_DENY_AGE_SECONDS
 
     def holder(self, key_digest: bytes | None) -> Organisation | None:
-        """Return who holds a key now."""
+        """Return the organisation that holds a key now."""
         table = self._catalogue.routes
         return table.organisations.holding(key_digest) if table else None
 
     def named(self, name: str) -> Organisation | None:
-        """Return an organisation that another host let in."""
+        """Return an organisation by its name, for relayed requests."""
         table = self._catalogue.routes
         return table.organisations.named(name) if table else None
 
     def rejection(self, request: Request) -> KeyRejection | None:
         """Return why a request may not be sent now, None if it may."""
-        # Looked at before each send: a request may have waited, its host may
-        # have stood still, and its key may be gone since it was let in.
+        # Checked before each send: the request may have waited or its host may
+        # have been paused, and its key may have been revoked since admission.
         organisation = request.organisation
         if organisation is None:
             return None
--- a/jacinthfold/proxy/listener.py
+++ b/jacinthfold/proxy/listener.py
@@ -1,4 +1,4 @@
-"""Read callers' requests from connections and write answers to them."""
+"""Read callers' requests from connections and write the responses."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -19,23 +19,23 @@
     MalformedRequestError,
 )
 
-# Callers use connections that were idle for nearly as long as the limit
-# says; one that is closed exactly then would meet their next request.
+# Callers reuse connections that were idle for nearly the full timeout; one
+# closed exactly then would lose their next request.
 IDLE_MARGIN_SECONDS = 2.0
 BACKLOG = 512
 
 
 class Handler(Protocol):
-    """Serve requests."""
+    """Serve the requests of a listener."""
 
     async def handle(
         self, request: RawRequest, response: CallerResponse
     ) -> None:
-        """Answer a request; an answer that is left open is cut."""
+        """Respond to a request; an unfinished response is aborted."""
 
 
 class Listener:
-    """Accept connections and serve the requests on each in turn."""
+    """Accept connections and serve the requests of each one in order."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         handler: Handler,
         read_limits: Callable[[], CallerLimits],
     ) -> None:
-        """Take where to listen, who serves, and the limits in force."""
+        """Store the address, the handler and the source of the limits."""
         self.name = name
         self._address = address
         self._handler = handler
@@ -53,41 +53,41 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._idle: set[Channel] = set()
         self.active_request_count = 0
-        # Set when this host leaves: answers then close their connections.
+        # Set when this host shuts down: responses then close their connections.
         self.is_leaving = False
 
     async def start(self) -> None:
-        """Listen; raise OSError when the address is taken."""
+        """Listen; raise OSError when the address is in use."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             self._accept, *self._address, backlog=BACKLOG, reuse_address=True
         )
 
     def stop_accepting(self) -> None:
-        """Take no more connections."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
     def close_idle(self) -> None:
-        """Close connections on which no request has begun."""
+        """Close the connections on which no request has begun."""
         for channel in list(self._idle):
             if not channel.has_unread_bytes:
                 channel.close()
 
     @property
     def connection_count(self) -> int:
-        """Return how many connections are open."""
+        """Return the number of open connections."""
         return len(self._tasks)
 
     @property
     def limits(self) -> CallerLimits:
-        """Return the limits in force."""
+        """Return the current limits."""
         return self._read_limits()
 
     async def respond(
         self, request: RawRequest, response: CallerResponse
     ) -> None:
-        """Have a request served and count it meanwhile."""
+        """Serve a request, counted as active meanwhile."""
         self.active_request_count += 1
         response.closes_connection = self.is_leaving
         try:
@@ -96,7 +96,7 @@
             self.active_request_count -= 1
 
     def set_idle(self, channel: Channel, *, is_idle: bool) -> None:
-        """Take whether a connection waits for a request."""
+        """Record whether a connection waits for a request."""
         if is_idle:
             self._idle.add(channel)
         else:
@@ -114,7 +114,7 @@
 
 
 class _AcceptedChannel(Channel):
-    """Begin to serve once the connection is there."""
+    """Start to serve as soon as the connection is established."""
 
     def __init__(self, begin: Callable[[Channel], None]) -> None:
         super().__init__()
@@ -126,7 +126,7 @@
 
 
 class _Connection:
-    """Serve the requests on one connection, one after the other."""
+    """Serve the requests on one connection, one after another."""
 
     def __init__(self, listener: Listener, channel: Channel) -> None:
         self._listener = listener
@@ -140,7 +140,7 @@
         except CallerDisconnectedError:
             self._channel.abort()
         except asyncio.CancelledError:
-            # The caller has left; its request was given up on the way here.
+            # The caller disconnected, which cancelled its request.
             self._channel.abort()
         except Exception as error:
             logs.error(
@@ -164,7 +164,7 @@
             self._listener.respond(request, response)
         )
         if not response.is_finished:
-            # Without its end the answer must not look whole.
+            # An unfinished response must not look complete.
             self._channel.abort()
             return False
         return (
@@ -173,7 +173,7 @@
         )
 
     async def _cancel_on_disconnect(self, work: Awaitable[None]) -> None:
-        """Serve, and stop as soon as the caller leaves."""
+        """Serve, and cancel as soon as the caller disconnects."""
         task = asyncio.current_task()
         if task is None or self._channel.is_peer_closed:
             asyncio.ensure_future(work).cancel()
@@ -214,7 +214,7 @@
             async with asyncio.timeout(limits.head_timeout_seconds):
                 head = await self._next_event()
         except TimeoutError as error:
-            raise MalformedRequestError(408, 'head not read in time') from error
+            raise MalformedRequestError(408, 'timed out in the head') from error
         if not isinstance(head, h11.Request):
             return None
         _check_head_size(head, limits.head_bytes)
@@ -222,7 +222,7 @@
             async with asyncio.timeout(limits.idle_timeout_seconds):
                 body = await self._read_body(limits.body_bytes)
         except TimeoutError as error:
-            raise MalformedRequestError(408, 'body not read in time') from error
+            raise MalformedRequestError(408, 'timed out in the body') from error
         return RawRequest(
             head.method, head.target, list(head.headers.raw_items()), body
         )
@@ -251,10 +251,10 @@
             if isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             if not isinstance(event, h11.Data):
-                raise ConnectionLostError('the caller left inside a body')
+                raise ConnectionLostError('caller left inside a body')
             body += event.data
             if len(body) > limit_bytes:
-                raise MalformedRequestError(413, 'the body is too large')
+                raise MalformedRequestError(413, 'body exceeds the limit')
 
     async def _next_event(self) -> object:
         event = self._parse()
@@ -262,7 +262,7 @@
             self._send_continue()
             content = await self._channel.read()
             if not content:
-                raise ConnectionLostError('the caller left inside a request')
+                raise ConnectionLostError('caller left inside a request')
             self._parser.receive_data(content)
             event = self._parse()
         return event
@@ -271,8 +271,8 @@
         try:
             return self._parser.next_event()
         except h11.RemoteProtocolError as error:
-            # The parser quotes the line after a colon, and a line may hold a
-            # key: it would stand in the log. What was wrong stands before it.
+            # After a colon the parser quotes the line, which may hold an API
+            # key. Only the reason before it goes to the log.
             reason = str(error).partition(':')[0]
             raise MalformedRequestError(
                 error.error_status_hint, reason
@@ -285,7 +285,7 @@
 
 
 def _check_head_size(head: h11.Request, limit_bytes: int) -> None:
-    # The parser bounds only heads that come in several pieces.
+    # The parser limits only heads that arrive in several pieces.
     sizes = [len(name) + len(content) for name, content in head.headers]
     size = sum(sizes) + len(head.target)
     if size > limit_bytes:
--- a/jacinthfold/proxy/metrics.py
+++ b/jacinthfold/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""Count requests, attempts and how long they took."""
+"""Define the metrics of requests, attempts, keys and caps."""
 
 from prometheus_client import (
     CollectorRegistry,
@@ -8,14 +8,14 @@
     generate_latest,
 )
 
-# From an idle engine's first event to the longest time a caller waits.
+# From the first event of an idle engine to the longest time a caller waits.
 SECONDS_BUCKETS = (
     0.025, 0.05, 0.1, 0.2, 0.3, 0.45, 0.6, 0.8, 1.0, 1.5, 2.5, 5.0, 15.0,
 )  # fmt: skip
 
 
 class ProxyMetrics:
-    """Hold the metrics of requests in a registry of their own."""
+    """Hold the metrics in their own registry."""
 
     def __init__(self) -> None:
         """Register every metric."""
@@ -90,5 +90,5 @@
         )
 
     def exposition(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/jacinthfold/proxy/outcome.py
+++ b/jacinthfold/proxy/outcome.py
@@ -1,4 +1,4 @@
-"""Say how an attempt at a target ended."""
+"""Describe how an attempt ended."""
 
 from enum import Enum
 from http import HTTPStatus
@@ -8,7 +8,7 @@
 
 
 class Ending(Enum):
-    """Tell what may follow an attempt."""
+    """Name how an attempt ended, which decides about a retry."""
 
     DELIVERED = 'delivered'
     NOT_RUN = 'not_run'
@@ -18,7 +18,7 @@
 
 
 class Outcome:
-    """Hold the ending of an attempt and what came of it."""
+    """Hold the ending of an attempt, its reason and its failed response."""
 
     __slots__ = (
         'after_seconds',
@@ -41,21 +41,21 @@
         is_rejected_locally: bool = False,
         is_pushback: bool = False,
     ) -> None:
-        """Take the ending, why, and the failed answer if there is one."""
+        """Store the ending, the reason, and the failed response if any."""
         self.ending = ending
         self.reason = reason
         self.head = head
         self.body = body
-        # When a peer that refused says that a return may meet room.
+        # The Retry-After of a peer that rejected the request.
         self.after_seconds = after_seconds
-        # Not sent, for a reason that says nothing of the target.
+        # Not sent, for a reason unrelated to the target's health.
         self.is_rejected_locally = is_rejected_locally
-        # Turned away by a target that is well and says when to come back.
+        # Rejected with a Retry-After by a target that is healthy.
         self.is_pushback = is_pushback
 
 
 def outcome_from_head(head: ResponseHead, *, is_peer: bool) -> Outcome | None:
-    """Return the outcome that an answer's head alone tells, if it does."""
+    """Return the outcome if the response head alone determines it."""
     outcome = _peer_outcome(head) if is_peer else None
     return outcome or _not_run_outcome(head)
 
--- a/jacinthfold/proxy/progress.py
+++ b/jacinthfold/proxy/progress.py
@@ -1,4 +1,4 @@
-"""Hold what has happened to a request so far."""
+"""Hold the state of a request across its attempts."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -9,12 +9,12 @@
 from jacinthfold.request.messages import Request
 
 DEFAULT_RETRY_AFTER_SECONDS = 0.5
-# The reason of a refusal because targets ended under the request.
+# The reason of a rejection because targets crashed under the request.
 QUARANTINED = 'quarantined'
 
 
 class Progress:
-    """Follow a request through its attempts."""
+    """Track a request across its attempts."""
 
     __slots__ = (
         'after_seconds',
@@ -36,7 +36,7 @@
     )
 
     def __init__(self, request: Request) -> None:
-        """Start with no attempt."""
+        """Start before the first attempt."""
         self.tried: set[str] = set()
         self.tried_regions: set[str] = set()
         self.sends = 0
@@ -44,51 +44,51 @@
         self.not_run_count = 0
         self.last_event_id = request.facts.last_event_id
         self.last_destination = ''
-        # From the whole request to its first event, None before that.
+        # From the complete request to its first event, None before that.
         self.first_event_seconds: float | None = None
         self.reason = ''
-        # Set while an attempt is under way whose outcome is not known.
+        # Whether an attempt is running whose outcome is unknown.
         self.is_in_flight = False
         self.ending: Ending | None = None
         self.failed_outcome: Outcome | None = None
         self.after_seconds = DEFAULT_RETRY_AFTER_SECONDS
-        # Of an answer that says that the request has not run.
+        # Status of the response if the request has not run.
         self.refusal_status = HTTPStatus.SERVICE_UNAVAILABLE
-        # Says why the request may not be sent now, nothing while it may.
+        # Returns why the request may not be sent now, or ''.
         self.rejection_reason: Callable[[], str] = _no_reason
-        # Allows one run; None where none is needed or it was used.
+        # Allows one run; None when none is needed or it was used.
         self.permit: Permit | None = None
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether any target may have begun to work on the request."""
+        """Check whether any target may have started to run the request."""
         return self.is_in_flight or self.runs > 0
 
     def record_placement_rejection(self, refusal: Refuse) -> None:
-        """Take that nothing could be chosen."""
+        """Record that no target or region could be chosen."""
         self.reason = self.reason or refusal.reason
         self.after_seconds = refusal.after_seconds
 
     def record_admission_rejection(
         self, reason: str, status: HTTPStatus, after_seconds: float
     ) -> None:
-        """Take that key or cap don't let the request be sent."""
+        """Record that residency, key or cap doesn't admit the request."""
         self.reason = reason
         self.refusal_status = status
         self.after_seconds = after_seconds
 
     @property
     def is_quarantined(self) -> bool:
-        """Tell whether the request is refused for what it did to targets."""
+        """Check whether the request is rejected for crashing targets."""
         return self.reason == QUARANTINED
 
     def record_quarantined(self, seconds: float) -> None:
-        """Take that the request is refused for some time."""
+        """Record that the request is quarantined for some time."""
         self.reason = QUARANTINED
         self.after_seconds = seconds
 
     def record_attempt(self, choice: Choice, outcome: Outcome) -> None:
-        """Take how an attempt ended."""
+        """Record how an attempt ended."""
         self.sends += 1
         self.is_in_flight = False
         if isinstance(choice, SendTo):
--- a/jacinthfold/proxy/relay_header.py
+++ b/jacinthfold/proxy/relay_header.py
@@ -1,14 +1,15 @@
-"""Write and read what entry hosts tell each other about a request."""
+"""Write and read the headers that entry hosts send each other."""
 
 import json
 
 from jacinthfold.catalogue.model import Repetition, Route
 from jacinthfold.request.messages import Headers, Request, first_header
 
-# Both are dropped from what callers send and from what targets get.
+# Internal headers are dropped from callers' requests and are never sent to
+# targets.
 REQUEST_HEADER = b'jacinthfold-passed'
 OUTCOME_HEADER = b'jacinthfold-outcome'
-# Beside "not run", which hosts of the version before go by alone.
+# Sent beside "not_run", the only one that hosts of the version before read.
 REASON_HEADER = b'jacinthfold-reason'
 INTERNAL_HEADERS = frozenset((REQUEST_HEADER, OUTCOME_HEADER, REASON_HEADER))
 
@@ -18,22 +19,22 @@
 
 
 def outcome_header(outcome: bytes) -> Headers:
-    """Return the header that tells an entry host how a request ended."""
+    """Return the header that reports an outcome to another entry host."""
     return [(OUTCOME_HEADER, outcome)]
 
 
 def quarantined_header() -> Headers:
-    """Return the header that tells why no host is to send the request."""
+    """Return the header that tells other hosts not to send the request."""
     return [(REASON_HEADER, b'quarantined')]
 
 
 def is_marked_quarantined(headers: Headers) -> bool:
-    """Tell whether another host says that no host is to send a request."""
+    """Check whether another host reports the request as quarantined."""
     return bool(first_header(headers, REASON_HEADER))
 
 
 def without_internal(headers: Headers) -> Headers:
-    """Return headers without those that only entry hosts may set."""
+    """Return the headers without those that only entry hosts may set."""
     return [
         (name, content)
         for name, content in headers
@@ -48,12 +49,12 @@
     *,
     has_permit: bool = False,
 ) -> Headers:
-    """Return the header that passes a request's route to another host.
+    """Return the header that carries a request's route to another host.
 
-    A paid request was permitted under its organisation's cap, for one run.
+    With has_permit the organisation's cap permitted one run of the request.
     """
     route = request.route
-    # The receiver may hold an older configuration: it goes by ours.
+    # The receiver may have an older configuration, so it uses this one.
     document = {
         'service': request.service_name,
         'stream': route.is_stream,
@@ -61,15 +62,15 @@
         'aim_seconds': route.aim_seconds,
         'gap_aim_seconds': route.gap_aim_seconds,
         'priority': route.priority,
-        # The sender can't see how many targets ran the request there. With
-        # one each, its own count is the whole count.
+        # The sender can't see how many targets ran the request there. With one
+        # attempt per relay, its own count covers all attempts.
         'max_attempts': 1,
         'homes': sorted(request.home_regions),
         'left_seconds': round(remaining_seconds, 3),
         'elapsed_seconds': round(elapsed_seconds, 3),
     }
     if request.organisation is not None:
-        # The name, never the key: the other host looks it up by itself.
+        # The name, never the key: the other host looks the name up itself.
         document['organisation'] = request.organisation.name
         document['paid'] = has_permit
     content = json.dumps(document, separators=(',', ':')).encode()
@@ -77,13 +78,13 @@
 
 
 def read(request: Request, now: float) -> str:
-    """Take the route that another host wrote; raise ValueError.
+    """Apply the route that another host wrote; raise ValueError or KeyError.
 
-    Return the name of the organisation that it let in, or nothing.
+    Return the name of the organisation that it admitted, or an empty string.
     """
     content = first_header(request.headers, REQUEST_HEADER)
     if not content:
-        raise ValueError('not passed on by an entry host')
+        raise ValueError('not relayed by an entry host')
     document = json.loads(content)
     route = Route('passed', '', '', ((document['service'], 1),))
     route.is_stream = document['stream']
--- a/jacinthfold/proxy/request_log.py
+++ b/jacinthfold/proxy/request_log.py
@@ -1,4 +1,4 @@
-"""Log what was decided for a request, and from what."""
+"""Log the decisions made for a request and their inputs."""
 
 from jacinthfold import logs
 from jacinthfold.placement.decision import Choice, PassTo, Refuse, SendTo
@@ -9,7 +9,7 @@
 
 
 def log_choice(request: Request, choice: Choice, progress: Progress) -> None:
-    """Log where a request goes, and what was expected."""
+    """Log the chosen target or region and its estimate."""
     if isinstance(choice, SendTo):
         estimate = choice.estimate
         logs.event(
@@ -37,7 +37,7 @@
 
 
 def log_placement_rejection(request: Request, refusal: Refuse) -> None:
-    """Log that nothing could be chosen, and what was expected."""
+    """Log that nothing could be chosen, with the rejected estimates."""
     here, elsewhere = refusal.here, refusal.elsewhere
     logs.event(
         'request_refused',
@@ -67,7 +67,7 @@
 
 
 def log_quarantined(request: Request, refusal: Refusal) -> None:
-    """Log that a request is refused for what it did to targets."""
+    """Log that a request is rejected for crashing targets."""
     logs.event(
         'request_refused',
         request=request.facts.request_id,
--- a/jacinthfold/proxy/response_timeout.py
+++ b/jacinthfold/proxy/response_timeout.py
@@ -1,10 +1,11 @@
-"""Decide how long an answer that may be had elsewhere is waited for.
-
-Load pattern: at a peak a prompt of 20,000 tokens waits behind others and has
-its first event after two seconds. Taken away from its engine after one and a
-half it is read again from its start at another one, which is late as well then.
-Worth of five loaded days, three to five seeds each: 0.603 when silence alone
-decided, 0.641 with both limits.
+"""Limit the wait for a response that another target could give.
+
+At peak load a prompt of 20,000 tokens queues behind others and yields its
+first event after two seconds. Moved after 1.5 s, it is prefilled from its start
+at another engine and is late there too. So an engine that responds to other
+requests gets the longer, hard timeout. In replays of five loaded days, three to
+five seeds each, the score was 0.603 with the soft timeout alone and 0.641 with
+both.
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 
 
 class ResponseTimeout:
-    """Wait longer for those that are heard by others than for the silent."""
+    """Wait for a response, longer if its sender serves other requests."""
 
     __slots__ = (
         '_clock',
@@ -35,7 +36,7 @@
         may_fail_over: Callable[[], bool],
         clock: Clock,
     ) -> None:
-        """Take both limits, and who knows the other end and other ways."""
+        """Store both timeouts, and the callbacks that choose between them."""
         self.soft_timeout_seconds = soft_timeout_seconds
         self._hard_timeout_seconds = hard_timeout_seconds
         self._last_activity_at = last_activity_at
@@ -43,7 +44,7 @@
         self._clock = clock
 
     def now(self) -> float:
-        """Return the time by the clock that waits are measured with."""
+        """Return the monotonic time that waits are measured with."""
         return self._clock.monotonic()
 
     async def wait(
@@ -51,7 +52,7 @@
         awaitable: Coroutine[Any, Any, Result],
         soft_timeout_seconds: float | None,
     ) -> Result:
-        """Return what comes; raise TimeoutError on silence."""
+        """Return the awaited result; raise TimeoutError on silence."""
         task = asyncio.current_task()
         if soft_timeout_seconds is None or task is None:
             return await awaitable
@@ -71,25 +72,25 @@
     def should_expire(
         self, began_at: float, soft_timeout_seconds: float
     ) -> bool:
-        """Tell whether a wait that found only silence is to end."""
-        # Without another attempt to follow the caller would only lose what the
-        # silent one may still bring.
+        """Check whether a wait without any response should time out."""
+        # Without another attempt, a timeout would only lose the response that
+        # may still arrive.
         if not self._may_fail_over():
             return False
-        # One that answers others is busy and not dead: its work on this
-        # request is worth more than a new start elsewhere. Requests that a
-        # failing target never answers end at the second limit.
+        # A sender that responds to other requests is busy, not dead: its work
+        # on this request is worth more than a restart elsewhere. Requests that
+        # a failing target never responds to end at the hard timeout.
         now = self._clock.monotonic()
         is_active = now - self._last_activity_at() < soft_timeout_seconds
         return not is_active or now - began_at >= self._hard_timeout_seconds
 
 
 class _SoftTimer:
-    """End a wait in the task that waits."""
+    """Cancel the waiting task at the timeout."""
 
-    # Not in a task of its own for each wait: streams wait once an event, and
-    # by a profile of a host that passed 900 events on, 41 ms of the 91 ms that
-    # they took went to making, awaiting and ending tasks.
+    # A timer instead of a task for each wait, since streams wait for every
+    # event: in the profile of a host that forwarded 900 events in 91 ms, 41 ms
+    # went into creating, awaiting and finishing such tasks.
 
     __slots__ = (
         '_began_at',
@@ -111,7 +112,7 @@
         self._soft_timeout_seconds = soft_timeout_seconds
         self._timeout = timeout
         self._began_at = timeout.now()
-        # Others may have asked the task to end before: their wish counts.
+        # A cancellation by others takes precedence over the timeout.
         self.cancellations_before = task.cancelling()
         self.is_expired = False
         self._handle = self._schedule_check()
--- a/jacinthfold/request/__init__.py
+++ b/jacinthfold/request/__init__.py
@@ -1,1 +1,1 @@
-"""Describe requests and answers while they pass through."""
+"""Model requests and responses while the gateway handles them."""
--- a/jacinthfold/request/messages.py
+++ b/jacinthfold/request/messages.py
@@ -1,4 +1,4 @@
-"""Hold requests and answers while they pass through."""
+"""Model requests and responses while the gateway handles them."""
 
 from jacinthfold.catalogue.model import Route
 from jacinthfold.organisations.model import Organisation
@@ -23,29 +23,29 @@
 
 
 class PrefixSegment:
-    """Hold one part of a prompt, which other requests may share."""
+    """Hold one segment of a prompt, which other requests may share."""
 
     __slots__ = ('name', 'tokens')
 
     def __init__(self, name: str, tokens: int) -> None:
-        """Take the part's name and its length in tokens."""
+        """Store the segment's name and its length in tokens."""
         self.name = name
         self.tokens = tokens
 
 
 class PromptPrefix:
-    """Hold a prompt up to the end of one of its parts."""
+    """Hold the prefix of a prompt up to the end of one of its segments."""
 
     __slots__ = ('name', 'tokens')
 
     def __init__(self, name: str, tokens: int) -> None:
-        """Take the names of all parts so far and their tokens together."""
+        """Store the joined names of the segments and their total tokens."""
         self.name = name
         self.tokens = tokens
 
 
 class RequestFacts:
-    """Hold what a request's headers say about it."""
+    """Hold what a request's headers declare."""
 
     __slots__ = (
         '_prefixes',
@@ -61,15 +61,15 @@
     )
 
     def __init__(self, request_id: str, host_name: str) -> None:
-        """Take the caller's identifier and the host name asked for."""
+        """Store the caller's request identifier and the requested host."""
         self.request_id = request_id
         self.host_name = host_name
-        # What the caller proves to be by; empty where callers prove nothing
-        # and the host name alone says for whom they call.
+        # The caller's credentials, or its organisation once identified; empty
+        # where callers send none and only the host name tells them apart.
         self.caller = ''
-        # Of the key that the caller sent, None without a readable one.
+        # Digest of the caller's API key, None without a readable one.
         self.key_digest: bytes | None = None
-        # How long the caller will wait; None when it does not say.
+        # How long the caller will wait; None if it does not say.
         self.caller_timeout_seconds: float | None = None
         self.prompt_tokens = 0
         self.output_tokens = 0
@@ -79,9 +79,9 @@
 
     @property
     def prefixes(self) -> tuple[PromptPrefix, ...]:
-        """Return the prompt up to the end of each of its parts."""
-        # A part is kept only with all parts before it, so its name alone
-        # would promise too much.
+        """Return the prefixes of the prompt, one for each segment."""
+        # A segment is cached only together with all segments before it, so a
+        # prefix is identified by the names of all its segments.
         if self._prefixes is None:
             prefixes = []
             name, tokens = '', 0
@@ -94,12 +94,12 @@
 
     @property
     def shared_prefixes(self) -> tuple[PromptPrefix, ...]:
-        """Return the same without the last part, which is the request's."""
+        """Return the prefixes without the last, which is the whole prompt."""
         return self.prefixes[:-1]
 
 
 class Request:
-    """Hold a request that was read whole."""
+    """Hold a request that was read completely."""
 
     __slots__ = (
         'body',
@@ -125,7 +125,7 @@
         body: bytes,
         facts: RequestFacts,
     ) -> None:
-        """Take the parts as they came."""
+        """Store the parts of the request as they were received."""
         self.method = method
         self.target = target
         self.headers = headers
@@ -136,17 +136,18 @@
         self.deadline = 0.0
         self.route = Route('', '', '', (('', 1),))
         self.service_name = ''
-        # Who calls; None on public routes and where callers have no keys.
+        # The caller's organisation; None on public routes and where callers
+        # have no keys.
         self.organisation: Organisation | None = None
-        # A request that another entry host passed on is served here or not
-        # at all: passed on again, two full regions would play ball with it.
+        # A request relayed by another entry host is served here or not at all:
+        # relayed again, it would bounce between two full regions.
         self.is_relayed = False
-        # Whether the host that passed it on has a permit for its one run.
+        # Whether the relaying host has a permit for its one run.
         self.has_permit = False
 
     @property
     def priority(self) -> int:
-        """Return the rank by which targets serve it, 0 first."""
+        """Return the priority by which targets serve it, 0 first."""
         organisation = self.organisation
         if organisation is None or organisation.priority is None:
             return self.route.priority
@@ -154,25 +155,25 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Tell whether targets serve it before others."""
+        """Check whether it has the highest priority."""
         return self.priority == 0
 
     @property
     def has_residency(self) -> bool:
-        """Tell whether only some regions may serve it."""
+        """Check whether only some regions may serve it."""
         return bool(self.route.home_regions or self._organisation_homes)
 
     @property
     def home_regions(self) -> frozenset[str]:
         """Return the regions that both route and organisation allow.
 
-        Empty where neither is bound, and where no region suits both.
+        Empty where neither restricts them, and where no region suits both.
         """
         homes, own = self.route.home_regions, self._organisation_homes
         return homes & own if homes and own else homes or own
 
     def allows(self, region: str) -> bool:
-        """Tell whether a region may serve it: route and organisation do."""
+        """Check whether route and organisation let a region serve it."""
         return not self.has_residency or region in self.home_regions
 
     @property
@@ -183,7 +184,7 @@
 
 
 class ResponseFacts:
-    """Hold what a target's headers say about its answer."""
+    """Hold what a target's response headers declare."""
 
     __slots__ = (
         'cold_seconds',
@@ -198,16 +199,16 @@
     )
 
     def __init__(self) -> None:
-        """Start with what an answer without such headers says."""
+        """Start with the values of a response without such headers."""
         self.request_id = ''
-        # Requests that the target takes from all hosts together.
+        # Requests that the target accepts per second from all hosts together.
         self.limit_per_second: float | None = None
-        # Whether it asks for no more requests, since it will end.
+        # Whether it asks for no more requests, since it is shutting down.
         self.is_leaving = False
-        # For how long it wants nothing from this host, having turned a request
-        # away.
+        # How long it asks this host to send nothing, after it rejected a
+        # request.
         self.backoff_seconds: float | None = None
-        # What it asks for in words that can't be read, by header.
+        # The values that could not be parsed, by header.
         self.invalid_headers: dict[str, str] = {}
         self.is_not_run = False
         self.is_sealed = False
@@ -216,26 +217,26 @@
 
 
 class ResponseHead:
-    """Hold status and headers of an answer."""
+    """Hold the status and headers of a response."""
 
     __slots__ = ('facts', 'headers', 'content_length', 'status')
 
     def __init__(
         self, status: int, headers: Headers, facts: ResponseFacts
     ) -> None:
-        """Take the status, the headers as they came and what they say."""
+        """Store the status, the headers as received and their meaning."""
         self.status = status
         self.headers = headers
         self.facts = facts
         self.content_length: int | None = None
 
     def end_to_end_headers(self) -> Headers:
-        """Return the headers that concern more than one connection."""
+        """Return the headers to forward (RFC 9110, section 7.6.1)."""
         return without_framing(self.headers)
 
 
 def without_framing(headers: Headers) -> Headers:
-    """Return headers that are not about the connection or its framing."""
+    """Return the headers that concern neither the connection nor framing."""
     named = {
         token.strip().lower()
         for name, content in headers
@@ -247,7 +248,7 @@
 
 
 def first_header(headers: Headers, name: bytes) -> bytes:
-    """Return the content of the first header of a name, or nothing."""
+    """Return the value of the first header with a lower-case name, or b''."""
     for found, content in headers:
         if found.lower() == name:
             return content
--- a/jacinthfold/transport/__init__.py
+++ b/jacinthfold/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Carry requests and answers over connections."""
+"""Send requests and receive responses over pooled connections."""
--- a/jacinthfold/transport/channel.py
+++ b/jacinthfold/transport/channel.py
@@ -1,4 +1,4 @@
-"""Move bytes over one TCP connection."""
+"""Read and write one TCP connection."""
 
 import asyncio
 import socket
@@ -6,11 +6,12 @@
 
 from jacinthfold.transport.errors import ConnectFailedError, ConnectionLostError
 
-# Reading stops above this and goes on when it has been taken. Callers' bodies
-# are read as they come, so it bounds what a silent reader can hold.
+# Reading pauses above this and resumes when the reader has taken the bytes.
+# Callers' bodies are read as they arrive, so it limits the memory held for a
+# slow reader.
 READ_AHEAD_BYTES = 262144
-# A peer that no longer acknowledges is noticed after this; without it a
-# connection to a machine without power hangs for minutes.
+# A peer that no longer acknowledges data is detected after this; without it a
+# connection to a machine that lost power hangs for minutes.
 UNACKNOWLEDGED_MILLISECONDS = 3000
 KEEP_ALIVE_IDLE_SECONDS = 2
 KEEP_ALIVE_INTERVAL_SECONDS = 1
@@ -18,10 +19,10 @@
 
 
 class Channel(asyncio.Protocol):
-    """Read and write one connection; know when the other side has left."""
+    """Read and write one connection and detect when the peer closes it."""
 
     def __init__(self) -> None:
-        """Wait to be connected."""
+        """Start without a transport, until connection_made."""
         self._transport: asyncio.Transport | None = None
         self._received = bytearray()
         self._wake_reader: asyncio.Future[None] | None = None
@@ -35,16 +36,16 @@
 
     @property
     def is_peer_closed(self) -> bool:
-        """Tell whether the other side has closed or reset the connection."""
+        """Check whether the peer has closed or reset the connection."""
         return self._is_peer_closed
 
     @property
     def has_unread_bytes(self) -> bool:
-        """Tell whether bytes came that nobody has read."""
+        """Check whether received bytes wait to be read."""
         return bool(self._received)
 
     async def read(self) -> bytes:
-        """Return the next bytes, none at the end; raise ConnectionLostError."""
+        """Return the next bytes, b'' at the end; raise ConnectionLostError."""
         while not self._received:
             if self.lost_error is not None:
                 raise ConnectionLostError(str(self.lost_error))
@@ -58,20 +59,20 @@
         return content
 
     async def write(self, content: bytes) -> None:
-        """Send bytes and wait while the other side does not read."""
+        """Send bytes and wait until the send buffer drains."""
         self.send(content)
         while self._is_paused and not self._is_closed():
             self._wake_writer = asyncio.get_running_loop().create_future()
             await self._wake_writer
 
     def send(self, content: bytes) -> None:
-        """Send bytes without waiting."""
+        """Send bytes without waiting; raise ConnectionLostError."""
         if self._transport is None or self._is_closed():
-            raise ConnectionLostError('the connection is closed')
+            raise ConnectionLostError('connection is closed')
         self._transport.write(content)
 
     def close(self) -> None:
-        """Close after all that was written has left."""
+        """Close after all written bytes have been sent."""
         if self._transport is not None:
             self._transport.close()
 
@@ -81,7 +82,7 @@
             self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport and set the socket up."""
+        """Store the transport and configure its socket."""
         if isinstance(transport, asyncio.Transport):
             self._transport = transport
         set_up_socket(transport.get_extra_info('socket'))
@@ -89,7 +90,7 @@
         self.local_address = own[0] if own else ''
 
     def data_received(self, content: bytes) -> None:
-        """Keep what came for the reader."""
+        """Buffer received bytes for the reader."""
         self._received += content
         too_much = len(self._received) > READ_AHEAD_BYTES
         if too_much and self._transport is not None:
@@ -99,23 +100,23 @@
             self.on_data()
 
     def eof_received(self) -> bool:
-        """Take that nothing more will come; what we write may still leave."""
+        """Record the end of the input; keep the connection open for writes."""
         self._mark_peer_closed()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take that the connection has ended."""
+        """Record that the connection has ended."""
         if exc is not None:
             self.lost_error = exc
         self._mark_peer_closed()
         self._wake(self._wake_writer)
 
     def pause_writing(self) -> None:
-        """Make writers wait."""
+        """Make writers wait while the send buffer is full."""
         self._is_paused = True
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Wake the writers that wait."""
         self._is_paused = False
         self._wake(self._wake_writer)
 
@@ -138,7 +139,7 @@
 
 
 async def connect(address: tuple[str, int], timeout_seconds: float) -> Channel:
-    """Open a connection; raise ConnectFailedError when nothing was sent."""
+    """Open a connection; raise ConnectFailedError if that fails."""
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout_seconds):
@@ -153,7 +154,7 @@
 
 
 def set_up_socket(opened: socket.socket) -> None:
-    """Send small writes at once and notice a silent other side."""
+    """Disable Nagle's algorithm and enable detection of dead peers."""
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, number in (
--- a/jacinthfold/transport/dialect.py
+++ b/jacinthfold/transport/dialect.py
@@ -1,4 +1,4 @@
-"""Say what the proxy needs to know of the headers in use."""
+"""Define how the proxy reads and writes a deployment's headers."""
 
 from typing import Protocol
 
@@ -11,13 +11,13 @@
 
 
 class Dialect(Protocol):
-    """Read and write the headers that callers and targets use."""
+    """Read and write the headers of callers and targets."""
 
     def read_request(self, headers: Headers) -> RequestFacts:
-        """Return what a request's headers say; raise ValueError."""
+        """Return what a request's headers declare; raise ValueError."""
 
     def read_response(self, status: int, headers: Headers) -> ResponseFacts:
-        """Return what an answer's headers say."""
+        """Return what a response's headers declare."""
 
     def target_headers(
         self,
@@ -27,16 +27,16 @@
         remaining_seconds: float,
         last_event_id: str,
     ) -> Headers:
-        """Return headers for a target, without framing."""
+        """Return the headers for a target, without framing."""
 
     def without_credentials(self, headers: Headers) -> Headers:
-        """Return headers that neither hold a key nor say who calls."""
+        """Return the headers without keys and the caller's identity."""
 
     def prefix_copy_headers(self, address: tuple[str, int]) -> Headers:
-        """Return headers that have a target copy what another has read."""
+        """Return headers that make a target copy another's cached prefix."""
 
     def gateway_headers(self, request_id: str) -> Headers:
-        """Return headers that every answer of our own carries."""
+        """Return the headers of every response by the gateway itself."""
 
     def retry_headers(self, after_seconds: float) -> Headers:
-        """Return headers that say when to come back."""
+        """Return the headers that tell a caller when to retry."""
--- a/jacinthfold/transport/errors.py
+++ b/jacinthfold/transport/errors.py
@@ -1,31 +1,31 @@
-"""Name what can go wrong between callers, this host and targets."""
+"""Define the errors of connections to callers, targets and hosts."""
 
 
 class ProxyError(Exception):
-    """Report that a request could not be carried through."""
+    """Report that a request could not be completed."""
 
 
 class ConnectFailedError(ProxyError):
-    """Report that no connection came about, so nothing was sent."""
+    """Report that no connection was established, so nothing was sent."""
 
     def __init__(self, reason: str, *, is_refused: bool = False) -> None:
-        """Take why, and whether the machine said that nothing listens."""
+        """Store the reason, and whether the connection was refused."""
         super().__init__(reason)
         self.is_refused = is_refused
 
 
 class ConnectionLostError(ProxyError):
-    """Report that a connection ended before it was due."""
+    """Report that a connection ended prematurely."""
 
 
 class MalformedResponseError(ProxyError):
-    """Report bytes that are no answer to the request."""
+    """Report bytes that are not a valid response to the request."""
 
 
 class MalformedRequestError(ProxyError):
-    """Report a caller's bytes that are no proper request."""
+    """Report a caller's bytes that are not a valid request."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """Take the status to answer with and what is wrong."""
+        """Store the status to respond with and the reason."""
         super().__init__(reason)
         self.status = status
--- a/jacinthfold/transport/exchange.py
+++ b/jacinthfold/transport/exchange.py
@@ -1,4 +1,4 @@
-"""Carry one request over one connection to a target, and its answer back."""
+"""Send one request over a connection and read its response."""
 
 import h11
 
@@ -12,15 +12,15 @@
 )
 
 HEAD_LIMIT_BYTES = 65536
-# Answers to earlier requests that may lie before ours on a connection.
+# Responses to earlier requests that are skipped on a connection.
 STRAY_ANSWER_LIMIT = 2
 
 
 class Exchange:
-    """Hold one request and its answer on a connection."""
+    """Exchange one request and its response on a connection."""
 
     def __init__(self, channel: Channel, dialect: Dialect) -> None:
-        """Take a connection that carries nothing else."""
+        """Store a connection that nothing else uses."""
         self._channel = channel
         self._dialect = dialect
         self._parser = _new_parser()
@@ -28,7 +28,7 @@
         self._method = b'GET'
         self._is_body_read = False
         self.has_received = False
-        # How long the target keeps the connection when idle, if it says.
+        # How long the target keeps an idle connection, if it says so.
         self.idle_seconds: float | None = None
 
     @property
@@ -44,7 +44,7 @@
         body: bytes,
         request_id: str,
     ) -> None:
-        """Send a request with a body that is known whole."""
+        """Send a request with its complete body."""
         self._request_id = request_id
         self._method = method
         framed = list(headers)
@@ -58,7 +58,7 @@
         await self._channel.write(wire)
 
     async def read_head(self) -> ResponseHead:
-        """Return the head of the answer to our request."""
+        """Return the response head; raise ProxyError."""
         strays = 0
         response = await self._next_head()
         while response.facts.request_id not in {'', self._request_id}:
@@ -69,14 +69,14 @@
             )
             strays += 1
             if strays > STRAY_ANSWER_LIMIT:
-                raise MalformedResponseError('answers to other requests only')
-            await self._skip_answer()
+                raise MalformedResponseError('only responses to other requests')
+            await self._skip_response()
             response = await self._next_head()
         self.idle_seconds = response.facts.idle_seconds
         return response
 
     async def read_chunk(self) -> bytes | None:
-        """Return the next bytes of the body, or None at its proven end."""
+        """Return the next bytes of the body, or None at its end."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
@@ -86,7 +86,7 @@
         raise MalformedResponseError(f'{event!r} inside a body')
 
     async def read_body(self, limit_bytes: int) -> bytes:
-        """Return the whole body."""
+        """Return the whole body; raise ProxyError."""
         body = bytearray()
         while True:
             chunk = await self.read_chunk()
@@ -94,16 +94,16 @@
                 return bytes(body)
             body += chunk
             if len(body) > limit_bytes:
-                raise MalformedResponseError(f'a body over {limit_bytes} bytes')
+                raise MalformedResponseError(f'body over {limit_bytes} bytes')
 
     def may_reuse(self) -> bool:
-        """Tell whether the connection can carry another request."""
+        """Check whether the connection can be used for another request."""
         parser = self._parser
         is_over = (
             parser.our_state is h11.DONE and parser.their_state is h11.DONE
         )
-        # Bytes beyond the answer belong to no request: the next one would
-        # take them for its own answer.
+        # Bytes after the response belong to no request: the next request would
+        # read them as its own response.
         is_clean = (
             not parser.trailing_data[0] and not self._channel.has_unread_bytes
         )
@@ -119,7 +119,7 @@
         while isinstance(event, h11.InformationalResponse):
             event = await self._next_event()
         if not isinstance(event, h11.Response):
-            raise MalformedResponseError(f'{event!r} in place of an answer')
+            raise MalformedResponseError(f'{event!r} instead of a response')
         headers: Headers = list(event.headers.raw_items())
         facts = self._dialect.read_response(event.status_code, headers)
         response = ResponseHead(event.status_code, headers, facts)
@@ -135,7 +135,7 @@
             content = await self._channel.read()
             self.has_received = self.has_received or bool(content)
             if not content and not self.has_received:
-                raise ConnectionLostError('closed before an answer')
+                raise ConnectionLostError('closed before a response')
             self._feed(content)
 
     def _parse(self) -> object:
@@ -150,21 +150,20 @@
         except h11.RemoteProtocolError as error:
             raise MalformedResponseError(str(error)) from error
 
-    async def _skip_answer(self) -> None:
+    async def _skip_response(self) -> None:
         await self.read_body(HEAD_LIMIT_BYTES * 16)
         self._is_body_read = False
-        rest = self._parser.trailing_data[0]
+        remaining = self._parser.trailing_data[0]
         self._parser = _new_parser()
-        # The parser must believe that it sent the request whose answer is
-        # still to come.
+        # The new parser reads a response only after it has sent a request.
         self._parser.send(
             h11.Request(
                 method=self._method, target='/', headers=[('Host', 'x')]
             )
         )
         self._parser.send(h11.EndOfMessage())
-        if rest:
-            self._feed(rest)
+        if remaining:
+            self._feed(remaining)
 
 
 def _new_parser() -> h11.Connection:
--- a/jacinthfold/transport/http_call.py
+++ b/jacinthfold/transport/http_call.py
@@ -1,4 +1,4 @@
-"""Make single calls over HTTP: to the metadata store and to entry hosts."""
+"""Make HTTP calls to the metadata store and to entry hosts."""
 
 import asyncio
 
@@ -20,22 +20,22 @@
 
 
 class CallTimeoutError(ProxyError):
-    """Report that no answer came in time; the call may yet be carried out."""
+    """Report that a call timed out; it may still be executed."""
 
 
 class CallResponse:
-    """Hold the answer to a call."""
+    """Hold the response to a call."""
 
     __slots__ = ('body', 'status')
 
     def __init__(self, status: int, body: bytes) -> None:
-        """Take status and body."""
+        """Store status and body."""
         self.status = status
         self.body = body
 
 
 class _PlainDialect:
-    """Read answers that carry no headers of note."""
+    """Ignore all headers except those of HTTP itself."""
 
     def read_request(self, headers: Headers) -> RequestFacts:
         return RequestFacts('', '')
@@ -67,10 +67,10 @@
 
 
 class PooledHttpClient:
-    """Call one address at a time, over kept connections."""
+    """Make HTTP calls over pooled connections."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start without connections."""
+        """Start with an empty pool."""
         self._pool = ConnectionPool(clock)
         self._dialect = _PlainDialect()
 
@@ -82,7 +82,7 @@
         body: bytes,
         timeout_seconds: float,
     ) -> CallResponse:
-        """Return the answer; raise ProxyError."""
+        """Return the response; raise ProxyError."""
         self._pool.sweep()
         pool_key = (*endpoint, '')
         channel = await self._pool.acquire(
@@ -98,7 +98,7 @@
             is_reusable = exchange.may_reuse()
         except TimeoutError as error:
             raise CallTimeoutError(
-                f'no answer in {timeout_seconds} s'
+                f'no response in {timeout_seconds} s'
             ) from error
         finally:
             if is_reusable:
@@ -110,7 +110,7 @@
     async def get(
         self, endpoint: tuple[str, int], target: str, timeout_seconds: float
     ) -> bytes:
-        """Return the body of a good answer; raise ProxyError."""
+        """Return the body of a response with status 200; raise ProxyError."""
         response = await self.call(
             endpoint, 'GET', target, b'', timeout_seconds
         )
--- a/jacinthfold/transport/pool.py
+++ b/jacinthfold/transport/pool.py
@@ -1,4 +1,4 @@
-"""Keep connections to targets and entry hosts for later requests."""
+"""Pool connections to targets and entry hosts."""
 
 import asyncio
 from functools import partial
@@ -6,13 +6,13 @@
 from jacinthfold.clock import Clock
 from jacinthfold.transport.channel import Channel, connect
 
-# How long a connection may lie idle when its target does not say; targets
-# close idle ones, and a request that meets the close is lost.
+# How long a connection may be idle if its target does not say. Targets close
+# idle connections, and a request sent at that moment is lost.
 DEFAULT_IDLE_SECONDS = 3.0
-# Left of the time that a target promises to keep an idle connection.
+# Subtracted from the time that a target promises to keep an idle connection.
 IDLE_MARGIN_SECONDS = 0.7
-# An unrepeatable request whose connection dies before an answer may not be
-# sent again. A connection that was used a moment ago has hardly died.
+# An unrepeatable request whose connection is lost before a response may not be
+# sent again. A connection used this recently has most likely not been closed.
 MAX_FRESH_IDLE_SECONDS = 1.0
 MAX_IDLE_PER_ENDPOINT = 32
 
@@ -20,7 +20,7 @@
 
 
 class _IdleConnection:
-    """Hold a connection that nobody uses."""
+    """Hold an idle connection."""
 
     __slots__ = ('channel', 'since', 'until')
 
@@ -31,10 +31,10 @@
 
 
 class ConnectionPool:
-    """Open connections and keep idle ones by place and instance."""
+    """Open connections and keep idle ones by endpoint and instance."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start empty."""
+        """Start without connections."""
         self._clock = clock
         self._idle: dict[Endpoint, list[_IdleConnection]] = {}
         self.opened_count = 0
@@ -46,7 +46,7 @@
         *,
         must_be_fresh: bool,
     ) -> Channel:
-        """Return a connection; raise ConnectFailedError."""
+        """Return an idle or new connection; raise ConnectFailedError."""
         idle_connections = self._take_idle(
             endpoint, must_be_fresh=must_be_fresh
         )
@@ -58,7 +58,7 @@
     def release(
         self, endpoint: Endpoint, channel: Channel, idle_seconds: float | None
     ) -> None:
-        """Keep a connection whose last answer was read to its end."""
+        """Return a connection whose last response was read completely."""
         now = self._clock.monotonic()
         seconds = DEFAULT_IDLE_SECONDS
         if idle_seconds is not None:
@@ -69,20 +69,20 @@
             return
         idle = _IdleConnection(channel, now, now + seconds)
         idle_connections.append(idle)
-        # Bytes that nobody asked for, or the target's close: either way the
-        # connection must not carry another request.
+        # After unexpected bytes or a close by the target, the connection must
+        # not be used for another request.
         drop = partial(self._drop, endpoint, idle)
         channel.on_data = drop
         channel.on_peer_closed = drop
 
     def close_idle(self, endpoint: Endpoint) -> None:
-        """Close the idle connections of a place that is gone."""
+        """Close the idle connections of an endpoint that is gone."""
         for idle in self._idle.pop(endpoint, []):
             _detach(idle.channel)
             idle.channel.close()
 
     def sweep(self) -> None:
-        """Close connections that were idle for too long."""
+        """Close connections whose idle time has expired."""
         now = self._clock.monotonic()
         for endpoint, idle_connections in list(self._idle.items()):
             stale = [idle for idle in idle_connections if idle.until <= now]
@@ -92,7 +92,7 @@
                 self._idle.pop(endpoint)
 
     async def run(self) -> None:
-        """Sweep until cancelled."""
+        """Close expired connections periodically until cancelled."""
         while True:
             await asyncio.sleep(IDLE_MARGIN_SECONDS)
             self.sweep()
