--- a/tests/gateway/test_permit_order.py
+++ b/tests/gateway/test_permit_order.py
@@ -1,4 +1,4 @@
-"""Requests that wait for their permit, in front of a cold engine."""
+"""Requests that wait for their permit before they reach a cold engine."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class SlowPermits:
-    """Grant every permit after other tasks have run."""
+    """Grant every permit only after other tasks have run."""
 
     def __init__(self):
         self.returned = []
@@ -39,7 +39,7 @@
 
 
 class Attempts:
-    """Keep what is sent, and never end."""
+    """Record what is sent; every attempt ends with an unknown outcome."""
 
     def __init__(self):
         self.sent = []
@@ -50,7 +50,7 @@
 
 
 class RevokingAttempts(Attempts):
-    """Have the key taken away during the first attempt, which fails."""
+    """Revoke the key during the first attempt, which fails."""
 
     def __init__(self, ending):
         super().__init__()
@@ -66,7 +66,7 @@
 
 
 class Answer:
-    """Keep the status of an answer."""
+    """Record the status of a response."""
 
     def __init__(self):
         self.status = 0
@@ -108,7 +108,7 @@
 
 
 def serve_together(count, scene, permits, attempts, **fields):
-    """Serve requests that come at once; return their answers."""
+    """Serve requests that arrive at once; return their responses."""
     made, serving = forwarder(scene, permits, attempts)
     attempts.catalogue = made
 
@@ -130,10 +130,11 @@
 
 
 def test_requests_that_wait_for_permits_don_t_overload_a_cold_engine():
-    """Ten requests come at once for an engine that stands three in a second.
+    """Ten requests arrive at once for an engine that takes three per second.
 
-    Each waits a moment for its permit. Had it chosen before, all ten would go
-    to the engine at once, since none had been counted when the next one chose.
+    Each waits a moment for its permit. Had it chosen its target before, all ten
+    would go to the engine at once, since none had been counted when the next
+    one chose.
     """
     scene = Scene()
     scene.add('i-1', cold_seconds=5.0)
@@ -155,10 +156,10 @@
     'ending', [Ending.NOT_RUN, Ending.FAILED, Ending.UNKNOWN, Ending.CUT]
 )
 def test_no_retry_runs_with_a_key_revoked_meanwhile(ending):
-    """A target turns a request down, fails it or breaks its stream off.
+    """A target rejects a request, fails it or truncates its stream.
 
-    While it did, the key was taken away. Another target stands ready, and the
-    request may be repeated or resumed there; it must not be sent again.
+    Meanwhile the key was revoked. Another target is ready, and the request may
+    be repeated or resumed there; it must not be sent again.
     """
     scene = Scene()
     for name in ('i-1', 'i-2'):
--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -1,4 +1,4 @@
-"""Plain requests: what callers see when targets misbehave."""
+"""Plain requests: what callers receive when targets misbehave."""
 
 import socket
 import threading
@@ -20,8 +20,8 @@
 
 
 @pytest.fixture
-def desk(deployment):
-    """Give two targets of a plain service behind one host."""
+def gateway(deployment):
+    """Start one host with two targets of a plain service."""
     deployment.put_routes(
         route('/order/', max_attempts=1),
         route('/quote/', **TWICE_ALLOWED),
@@ -38,7 +38,7 @@
 
 
 def script(deployment, *scripts):
-    """Give each target its script."""
+    """Set the script of each target."""
     for target, one in zip(deployment.targets.values(), scripts, strict=True):
         target.script = one
 
@@ -52,22 +52,24 @@
     ]
 
 
-def test_answer_is_the_targets_own(desk):
-    answer = desk.ask('north-a', '/order/7?x=1', method='POST', body=b'core')
-    ran = [one for target in desk.targets.values() for one in target.executed]
+def test_response_is_forwarded_unchanged(gateway):
+    answer = gateway.ask('north-a', '/order/7?x=1', method='POST', body=b'core')
+    ran = [
+        one for target in gateway.targets.values() for one in target.executed
+    ]
     assert answer.status == 200
     assert answer.body.startswith(b'from i-')
     assert answer.headers['response-seal'] == standin.SEAL
     assert [one.target for one in ran] == ['/order/7?x=1']
     assert ran[0].body == b'core'
     assert 0 < int(ran[0].headers['request-deadline']) <= 4000
-    assert ran[0].headers['target-instance'] in desk.targets
+    assert ran[0].headers['target-instance'] in gateway.targets
 
 
-def test_headers_that_only_the_system_sets_are_dropped(desk):
-    """A caller names a hold, a memory to go on from and a passed request.
+def test_headers_that_only_the_system_sets_are_dropped(gateway):
+    """A caller sends headers that reserve slots, copy caches or mark a relay.
 
-    Let through, it would take another caller's memory or a reserved place.
+    Forwarded, they would give it another caller's cache or a reserved slot.
     """
     forged = [
         ('Hold', '1'),
@@ -76,147 +78,151 @@
         ('Pin-Duration', '9'),
         ('Jacinthfold-Passed', '{}'),
     ]
-    assert desk.ask('north-a', '/quote/1', headers=forged).status == 200
-    [ran] = [one for target in desk.targets.values() for one in target.executed]
+    assert gateway.ask('north-a', '/quote/1', headers=forged).status == 200
+    [ran] = [
+        one for target in gateway.targets.values() for one in target.executed
+    ]
     names = {name.lower() for name, _ in forged}
     assert not names & set(ran.headers)
 
 
-def test_unknown_path_is_not_found_and_runs_nowhere(desk):
-    assert desk.ask('north-a', '/nowhere/x').status == 404
-    assert not executions(desk)
+def test_unknown_path_is_not_found_and_runs_nowhere(gateway):
+    assert gateway.ask('north-a', '/nowhere/x').status == 404
+    assert not executions(gateway)
 
 
-def test_lost_answer_of_an_unrepeatable_request_is_unknown(desk):
-    """The target runs an order and its connection breaks before the answer.
+def test_lost_answer_of_an_unrepeatable_request_is_unknown(gateway):
+    """The target runs an order and its connection breaks before the response.
 
-    The caller hears 502, which promises nothing, on a connection that stays
-    open; a second send would place the order twice.
+    The caller gets 502, which leaves open whether it ran, on a connection that
+    stays open; a second send would place the order twice.
     """
-    script(desk, standin.cut_after_run, standin.cut_after_run)
-    connection = Connection(desk.hosts['north-a'].callers)
+    script(gateway, standin.cut_after_run, standin.cut_after_run)
+    connection = Connection(gateway.hosts['north-a'].callers)
     request_id = new_id()
     connection.send('/order/1', 'POST', body=b'x', request_id=request_id)
     assert connection.receive().status == 502
-    assert executions(desk) == [request_id]
-    script(desk, standin.serve_plain, standin.serve_plain)
+    assert executions(gateway) == [request_id]
+    script(gateway, standin.serve_plain, standin.serve_plain)
     connection.send('/order/2', 'POST', body=b'x', request_id=new_id())
     assert connection.receive().status == 200
     connection.close()
 
 
-def test_lost_answer_of_a_repeatable_request_is_asked_for_again(desk):
-    """One of two targets loses the answers of all that it runs."""
-    script(desk, standin.cut_after_run, standin.serve_plain)
-    statuses = {desk.ask('north-a', '/quote/1').status for _ in range(8)}
+def test_lost_answer_of_a_repeatable_request_is_asked_for_again(gateway):
+    """One of two targets loses the responses to all that it runs."""
+    script(gateway, standin.cut_after_run, standin.serve_plain)
+    statuses = {gateway.ask('north-a', '/quote/1').status for _ in range(8)}
     assert statuses == {200}
 
 
-def test_no_more_targets_run_a_request_than_its_route_allows(desk):
+def test_no_more_targets_run_a_request_than_its_route_allows(gateway):
     """Every target fails; three sends would be one more than declared."""
-    script(desk, standin.fail, standin.fail)
+    script(gateway, standin.fail, standin.fail)
     request_id = new_id()
-    answer = desk.ask('north-a', '/quote/1', request_id=request_id)
+    answer = gateway.ask('north-a', '/quote/1', request_id=request_id)
     assert answer.status == 500
     assert answer.headers['response-seal'] == standin.SEAL
-    assert executions(desk) == [request_id] * 2
+    assert executions(gateway) == [request_id] * 2
 
 
-def test_request_rejected_by_one_target_runs_at_another(desk):
-    script(desk, standin.refuse, standin.serve_plain)
-    answers = [desk.ask('north-a', '/order/1', 'POST') for _ in range(6)]
+def test_request_rejected_by_one_target_runs_at_another(gateway):
+    script(gateway, standin.refuse, standin.serve_plain)
+    answers = [gateway.ask('north-a', '/order/1', 'POST') for _ in range(6)]
     assert {answer.status for answer in answers} == {200}
 
 
-def test_rejection_by_all_targets_is_not_run_with_retry_after(desk):
-    script(desk, standin.refuse, standin.refuse)
-    answer = desk.ask('north-a', '/order/1', 'POST')
+def test_rejection_by_all_targets_is_not_run_with_retry_after(gateway):
+    script(gateway, standin.refuse, standin.refuse)
+    answer = gateway.ask('north-a', '/order/1', 'POST')
     assert answer.status == 503
     assert 0 < float(answer.headers['retry-after']) <= 4 / 3
-    assert not executions(desk)
+    assert not executions(gateway)
 
 
-def test_short_body_is_no_success(desk):
-    """The target's connection ends four bytes before the declared length."""
-    script(desk, standin.truncate, standin.truncate)
-    assert desk.ask('north-a', '/order/1', 'POST').status == 502
+def test_truncated_body_is_no_success(gateway):
+    """The target's connection closes four bytes before the declared length."""
+    script(gateway, standin.truncate, standin.truncate)
+    assert gateway.ask('north-a', '/order/1', 'POST').status == 502
 
 
-def test_answer_that_nobody_asked_for_reaches_nobody(desk):
-    """A target answers each request twice.
+def test_answer_that_nobody_asked_for_reaches_nobody(gateway):
+    """A target sends two responses to each request.
 
-    The second answer lies on the connection when the next request takes it;
-    read as its answer, one caller would get what belongs to another.
+    The second one waits on the connection when the next request uses it; read
+    as its response, one caller would get what belongs to another.
     """
-    script(desk, standin.answer_twice, standin.answer_twice)
+    script(gateway, standin.answer_twice, standin.answer_twice)
     for _ in range(10):
         request_id = new_id()
-        answer = desk.ask('north-a', '/quote/1', request_id=request_id)
+        answer = gateway.ask('north-a', '/quote/1', request_id=request_id)
         assert answer.status == 200
         assert answer.headers['attempt-id'] == request_id
 
 
-def test_late_response_to_another_request_is_skipped(desk):
-    script(desk, standin.stray_first, standin.stray_first)
-    answer = desk.ask('north-a', '/order/1', 'POST')
+def test_late_response_to_another_request_is_skipped(gateway):
+    script(gateway, standin.stray_first, standin.stray_first)
+    answer = gateway.ask('north-a', '/order/1', 'POST')
     assert (answer.status, answer.body) == (200, b'yours')
 
 
-def test_deadline_of_a_request_in_flight_is_no_rejection(desk):
-    """A target works on past the route's time.
+def test_deadline_of_a_request_in_flight_is_no_rejection(gateway):
+    """A target works past the route's timeout.
 
-    The host sends the final answer then. A 503 would promise that the
-    request has not run, and the caller would send it again.
+    The host responds then. A 503 would promise that the request has not run,
+    and the caller would send it again.
     """
-    script(desk, standin.say_nothing, standin.say_nothing)
-    answer = desk.ask('north-a', '/short/1', 'POST')
+    script(gateway, standin.say_nothing, standin.say_nothing)
+    answer = gateway.ask('north-a', '/short/1', 'POST')
     assert answer.status == 504
-    assert len(executions(desk)) == 1
+    assert len(executions(gateway)) == 1
     wait_until(
-        lambda: sum(len(one.left) for one in desk.targets.values()) == 1,
+        lambda: sum(len(one.left) for one in gateway.targets.values()) == 1,
         'the target is free again',
     )
 
 
-def test_caller_that_leaves_frees_its_target(desk):
-    script(desk, standin.say_nothing, standin.say_nothing)
-    connection = Connection(desk.hosts['north-a'].callers)
+def test_caller_that_leaves_frees_its_target(gateway):
+    script(gateway, standin.say_nothing, standin.say_nothing)
+    connection = Connection(gateway.hosts['north-a'].callers)
     connection.send('/quote/1', request_id=new_id())
-    wait_until(lambda: executions(desk), 'a target works')
+    wait_until(lambda: executions(gateway), 'a target works')
     connection.close()
     wait_until(
-        lambda: any(one.left for one in desk.targets.values()),
+        lambda: any(one.left for one in gateway.targets.values()),
         'the target is free again',
     )
 
 
-def test_address_of_another_instance_runs_nothing(desk):
-    """A target's address was taken over by another instance.
+def test_address_of_another_instance_runs_nothing(gateway):
+    """A target's address now belongs to another instance.
 
-    It answers that it is not the one that was named; the request runs at
-    the target that still is.
+    That one responds that it is not the requested instance; the request runs at
+    the other target.
     """
-    desk.targets['i-1'].instance = 'i-9'
-    answers = [desk.ask('north-a', '/order/1', 'POST') for _ in range(4)]
+    gateway.targets['i-1'].instance = 'i-9'
+    answers = [gateway.ask('north-a', '/order/1', 'POST') for _ in range(4)]
     assert {answer.body for answer in answers} == {b'from i-2'}
 
 
-def test_target_without_a_listener_is_skipped(desk):
-    """Connections to one target are refused: nothing was sent there."""
-    desk.targets['i-1'].stop()
-    answers = [desk.ask('north-a', '/order/1', 'POST') for _ in range(6)]
+def test_target_without_a_listener_is_skipped(gateway):
+    """Connections to one target are refused, so nothing was sent there."""
+    gateway.targets['i-1'].stop()
+    answers = [gateway.ask('north-a', '/order/1', 'POST') for _ in range(6)]
     assert {answer.status for answer in answers} == {200}
 
 
-def test_body_in_chunks_arrives_whole(desk):
-    with socket.create_connection(desk.hosts['north-a'].callers) as opened:
+def test_body_in_chunks_arrives_whole(gateway):
+    with socket.create_connection(gateway.hosts['north-a'].callers) as opened:
         opened.sendall(
             b'POST /order/1 HTTP/1.1\r\nHost: api.example\r\n'
             b'Attempt-Id: chunked\r\nTransfer-Encoding: chunked\r\n\r\n'
             b'3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n'
         )
         assert opened.recv(100).startswith(b'HTTP/1.1 200')
-    [ran] = [one for target in desk.targets.values() for one in target.executed]
+    [ran] = [
+        one for target in gateway.targets.values() for one in target.executed
+    ]
     assert ran.body == b'abcde'
 
 
@@ -235,45 +241,45 @@
         ),
     ],
 )
-def test_improper_request_gets_a_clear_status(desk, wire, status):
-    with socket.create_connection(desk.hosts['north-a'].callers) as opened:
+def test_improper_request_gets_a_clear_status(gateway, wire, status):
+    with socket.create_connection(gateway.hosts['north-a'].callers) as opened:
         try:
             opened.sendall(wire)
         except ConnectionError:
             pass
         assert opened.recv(100).split(b' ')[1] == status
-    assert not executions(desk)
+    assert not executions(gateway)
 
 
-def test_request_hidden_in_a_body_does_not_run(desk):
-    """A body holds what looks like another request."""
+def test_request_hidden_in_a_body_does_not_run(gateway):
+    """A body contains what looks like another request."""
     hidden = b'GET /quote/hidden HTTP/1.1\r\nHost: api.example\r\n\r\n'
-    assert desk.ask('north-a', '/order/1', 'POST', body=hidden).status == 200
-    assert len(executions(desk)) == 1
+    assert gateway.ask('north-a', '/order/1', 'POST', body=hidden).status == 200
+    assert len(executions(gateway)) == 1
 
 
-def test_connections_to_targets_are_used_again(desk):
+def test_connections_to_targets_are_used_again(gateway):
     for _ in range(12):
-        assert desk.ask('north-a', '/quote/1').status == 200
-    opened = sum(one.connection_count for one in desk.targets.values())
+        assert gateway.ask('north-a', '/quote/1').status == 200
+    opened = sum(one.connection_count for one in gateway.targets.values())
     assert opened <= 4
 
 
-def test_metrics_count_requests(desk):
-    desk.ask('north-a', '/quote/1')
-    text = call(desk.hosts['north-a'].metrics, '/metrics').body.decode()
+def test_metrics_count_requests(gateway):
+    gateway.ask('north-a', '/quote/1')
+    text = call(gateway.hosts['north-a'].metrics, '/metrics').body.decode()
     assert 'jacinthfold_gateway_requests_total{' in text
     assert 'jacinthfold_gateway_request_seconds_bucket{' in text
 
 
-def test_many_callers_get_their_own_answers(desk):
+def test_many_callers_get_their_own_answers(gateway):
     wrong = []
 
     def ask_often():
         for _ in range(15):
             request_id = new_id()
             answer = ask(
-                desk.hosts['north-a'].callers,
+                gateway.hosts['north-a'].callers,
                 '/quote/1',
                 request_id=request_id,
             )
@@ -288,48 +294,48 @@
     assert not wrong
 
 
-def test_shared_budget_bounds_repeats(desk):
-    """Every target loses every answer, for many requests in a row.
+def test_shared_budget_bounds_repeats(gateway):
+    """Every target loses every response, for many requests in a row.
 
     Each request may be sent twice; all together may not, or failing targets
     would get twice the load that they already fail under. The budget's slack
-    is 100 over 14 hosts, of which this one uses three quarters of its part.
+    is 100 over 14 hosts, of which this one uses three quarters of its share.
     """
-    script(desk, standin.cut_after_run, standin.cut_after_run)
+    script(gateway, standin.cut_after_run, standin.cut_after_run)
     for _ in range(60):
-        desk.ask('north-a', '/quote/1')
-    repeats = sum(one.arrived for one in desk.targets.values()) - 60
+        gateway.ask('north-a', '/quote/1')
+    repeats = sum(one.arrived for one in gateway.targets.values()) - 60
     assert 0 < repeats <= 0.2 * 60 + 100 / 14
 
 
-def test_outcome_header_of_a_target_is_ignored(desk):
-    """A target runs an order and answers with the entry hosts' own word.
+def test_outcome_header_of_a_target_is_ignored(gateway):
+    """A target runs an order and sends the entry hosts' outcome header.
 
-    Believed, the order would run a second time at another target.
+    Trusted, the header would make the order run again at another target.
     """
 
-    async def lie(target, request, writer):
+    async def forge_outcome(target, request, writer):
         target.executed.append(request)
         headers = [*standin.echoed(request), ('Jacinthfold-Outcome', 'not_run')]
         writer.write(standin.Reply(200, headers, b'ran').wire())
         return True
 
-    script(desk, lie, lie)
-    answer = desk.ask('north-a', '/order/1', 'POST')
+    script(gateway, forge_outcome, forge_outcome)
+    answer = gateway.ask('north-a', '/order/1', 'POST')
     assert answer.status == 200
-    assert len(executions(desk)) == 1
-    script(desk, standin.refuse, standin.refuse)
-    refused = desk.ask('north-a', '/order/1', 'POST')
+    assert len(executions(gateway)) == 1
+    script(gateway, standin.refuse, standin.refuse)
+    refused = gateway.ask('north-a', '/order/1', 'POST')
     assert 'jacinthfold-outcome' not in refused.headers
 
 
-def test_token_counts_out_of_range_are_rejected(desk):
-    """A caller says that its prompt has 10^30 tokens, or less than none.
+def test_token_counts_out_of_range_are_rejected(gateway):
+    """A caller declares a prompt of 10^30 tokens, or of negative length.
 
-    The figure becomes a part of its host's load. No digest can be written
-    with the large one: each collector that hears of it fails for as long as
-    the request runs, and its data centre goes unheard. The negative one makes
-    the target look idle, and every host sends there.
+    The count is added to the host's load. The large one fits no digest: each
+    collector that receives it fails for as long as the request runs, and its
+    data centre is not reported. The negative one makes the target look idle,
+    and every host sends there.
     """
     for name, content in (
         ('Token-Usage', f'{10**30},1'),
@@ -339,6 +345,6 @@
         ('Prompt-Prefix', f'a:{10**30}'),
         ('Prompt-Prefix', 'a:-5'),
     ):
-        answer = desk.ask('north-a', '/order/x', headers=[(name, content)])
+        answer = gateway.ask('north-a', '/order/x', headers=[(name, content)])
         assert (content, answer.status) == (content, 400)
-    assert executions(desk) == []
+    assert executions(gateway) == []
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams: events whole, in order, once; broken ones look broken."""
+"""Streams: complete events, in order, once; truncation stays visible."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def engines(deployment):
-    """Give two engines behind one host."""
+    """Start one host with two engines."""
     deployment.put_routes(
         route('/chat/', 'model', 'stream', **{'max-attempts': 1}),
         route('/review/', 'model', 'stream', resumable=True),
@@ -31,22 +31,22 @@
     return deployment
 
 
-def read(deployment, path, **options):
-    """Return the answer to a prompt."""
+def send_prompt(deployment, path, **options):
+    """Send a prompt and return the response."""
     return deployment.ask(
         'north-a', path, 'POST', headers=PROMPT, body=b'prompt', **options
     )
 
 
-def whole(first, last):
-    """Return the events of a range as they should arrive."""
+def events(first, last):
+    """Return the expected bytes of a range of events."""
     return b''.join(standin.event(number) for number in range(first, last + 1))
 
 
 def test_stream_arrives_whole(engines):
-    answer = read(engines, '/chat/1')
+    answer = send_prompt(engines, '/chat/1')
     assert answer.is_whole
-    assert answer.body == whole(1, 5)
+    assert answer.body == events(1, 5)
     assert answer.headers['response-seal'] == standin.SEAL
 
 
@@ -69,27 +69,27 @@
 def test_cut_stream_that_may_not_be_resumed_looks_cut(engines):
     """The engine's connection breaks inside the fourth event.
 
-    The caller gets three whole events and no end mark: with the mark, a part
-    of an answer would pass for all of it.
+    The caller gets three complete events and no end of the body: with it, a
+    truncated response would look complete.
     """
     for target in engines.targets.values():
         target.script = standin.stream(5, cut_at=3, tail=b'id: 4\nda')
-    answer = read(engines, '/chat/1')
+    answer = send_prompt(engines, '/chat/1')
     assert not answer.is_whole
-    assert answer.body == whole(1, 3)
+    assert answer.body == events(1, 3)
 
 
 def test_cut_stream_goes_on_at_another_engine(engines):
-    """The engine that took the request breaks off inside an event.
+    """The engine that received the request disconnects inside an event.
 
-    The other one goes on behind the last whole event; the caller sees one
-    stream with the first engine's headers, nothing missing, nothing twice.
+    The other one resumes after the last complete event; the caller sees one
+    stream with the first engine's headers, nothing missing or repeated.
     """
     for target in engines.targets.values():
         target.script = _cut_first_time
-    answer = read(engines, '/review/1')
+    answer = send_prompt(engines, '/review/1')
     assert answer.is_whole
-    assert answer.body == whole(1, 5)
+    assert answer.body == events(1, 5)
     resumed = [
         one.headers.get('last-event-id')
         for target in engines.targets.values()
@@ -99,22 +99,22 @@
 
 
 def test_engine_that_repeats_an_event_is_not_passed_through(engines):
-    """The engine that goes on begins with the event that the caller has."""
+    """The resuming engine begins with an event that the caller already has."""
 
     async def from_the_start(target, request, writer):
         request.headers['last-event-id'] = '2'
         return await standin.stream(5)(target, request, writer)
 
     for target in engines.targets.values():
-        target.script = _then(from_the_start)
-    assert read(engines, '/review/1').body == whole(1, 5)
+        target.script = _cut_then_resume(from_the_start)
+    assert send_prompt(engines, '/review/1').body == events(1, 5)
 
 
 def test_silent_engine_is_left_for_another(engines):
-    """An engine takes a request that may be repeated and says nothing.
+    """An engine receives a repeatable request and sends no response.
 
-    Its connection stays open. The request goes to another engine while its
-    caller still waits, and the silent one is freed first.
+    Its connection stays open. The request moves to another engine while its
+    caller still waits, and is cancelled at the silent one first.
     """
     engines.targets['i-1'].script = standin.say_nothing
     engines.targets['i-2'].script = standin.say_nothing
@@ -130,20 +130,20 @@
 
     for target in engines.targets.values():
         target.script = first
-    answer = read(engines, '/review/1', seconds=10)
-    assert answer.body == whole(1, 5)
+    answer = send_prompt(engines, '/review/1', seconds=10)
+    assert answer.body == events(1, 5)
 
 
 def test_busy_engine_is_not_left_for_another(engines):
-    """An engine streams to others and begins this answer after two seconds.
+    """An engine streams to others and begins this response after two seconds.
 
-    Taken away after its first silence the request would be read again at
-    the other engine, and be later still.
+    Moved at the soft timeout, the request would be prefilled again at the other
+    engine and be even later.
     """
     targets = list(engines.targets.values())
     for target in targets:
         target.script = standin.stream(60, pause_seconds=0.1)
-    # The same prompt: both requests are kept together at one engine.
+    # With the same prompt, both requests go to the same engine.
     other = Connection(engines.hosts['north-a'].callers)
     other.send('/chat/1', 'POST', PROMPT, b'p', new_id())
     wait_until(
@@ -152,17 +152,17 @@
     for target in targets:
         target.executed.clear()
         target.script = standin.late(2.0, standin.stream(5))
-    answer = read(engines, '/review/1', seconds=10)
-    assert answer.body == whole(1, 5)
+    answer = send_prompt(engines, '/review/1', seconds=10)
+    assert answer.body == events(1, 5)
     assert sum(len(one.executed) for one in targets) == 1
     other.close()
 
 
 def test_soft_timeout_does_not_end_the_last_attempt(engines):
-    """An engine pauses for 1.4 s in its answer; it is the last attempt.
+    """An engine pauses for 1.4 s in its response, at the last attempt.
 
-    Left for its silence, the answer ends broken though the rest was on its
-    way: the caller has lost a request that was served.
+    A timeout would truncate the response although the remaining events were
+    about to arrive: the caller would lose a request that was served.
     """
     engines.put_routes(
         route('/warm/', 'model', 'idempotent'),
@@ -171,14 +171,15 @@
         ),
     )
     wait_until(
-        lambda: read(engines, '/last/0').status == 200, 'the route is in force'
+        lambda: send_prompt(engines, '/last/0').status == 200,
+        'the route is in force',
     )
     for target in engines.targets.values():
         target.executed.clear()
         target.script = standin.stream(3, pause_seconds=1.4)
-    answer = read(engines, '/last/1', seconds=12)
+    answer = send_prompt(engines, '/last/1', seconds=12)
     assert answer.is_whole
-    assert answer.body == whole(1, 3)
+    assert answer.body == events(1, 3)
 
 
 def test_stream_resumed_by_its_caller_goes_on(engines):
@@ -189,7 +190,7 @@
         headers=[*PROMPT, ('Last-Event-Id', '2')],
         body=b'prompt',
     )
-    assert answer.body == whole(3, 5)
+    assert answer.body == events(3, 5)
 
 
 def test_failure_of_a_repeatable_stream_is_retried(engines):
@@ -200,14 +201,14 @@
 
     for target in engines.targets.values():
         target.script = fail_once
-    answer = read(engines, '/review/1')
-    assert (answer.status, answer.body) == (200, whole(1, 5))
+    answer = send_prompt(engines, '/review/1')
+    assert (answer.status, answer.body) == (200, events(1, 5))
 
 
 def test_prompts_with_a_shared_prefix_stay_with_one_engine(engines):
-    """Prompts that share their first parts are read where these are kept."""
+    """Prompts with a shared prefix go to the engine that caches it."""
     for _ in range(6):
-        read(engines, '/chat/1')
+        send_prompt(engines, '/chat/1')
     counts = sorted(len(one.executed) for one in engines.targets.values())
     assert counts == [0, 6]
 
@@ -219,7 +220,7 @@
     return await script(target, request, writer)
 
 
-def _then(later):
+def _cut_then_resume(later):
     async def script(target, request, writer):
         if 'last-event-id' in request.headers:
             return await later(target, request, writer)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The tests' own proxy between processes."""
+"""The fault-injecting proxy that tests put between processes."""
 
 import socket
 import threading
@@ -10,7 +10,7 @@
 
 
 def test_bytes_are_lost_to_the_end_of_a_link_and_never_from_its_middle():
-    """Guards against faults that no network makes: TCP never skips bytes."""
+    """The proxy must inject no impossible fault: TCP never skips bytes."""
     listener = socket.create_server(('127.0.0.1', 0))
     proxy = Proxy(*listener.getsockname())
     pieces = [b'one ', b'two ', b'three ']
--- a/tools/ablations/decisions.py
+++ b/tools/ablations/decisions.py
@@ -95,7 +95,7 @@
         + 'test_limit_shares.py::test_limit_of_a_holder_without_callers_moves_on',
     ),
     Ablation(
-        'gateway: what was chosen before a limit was heard is chosen again',
+        'gateway: a choice made before a limit was received is made again',
         [
             (
                 'proxy/delivery.py',
--- a/tools/ablations/gateway.py
+++ b/tools/ablations/gateway.py
@@ -6,7 +6,7 @@
 
 GATEWAY_HOSTS = [
     Ablation(
-        'gateway: a request that is out is not told not run',
+        'gateway: a request in flight is not reported as not run',
         [
             (
                 'proxy/delivery.py',
@@ -18,7 +18,7 @@
         + 'test_requests.py::test_deadline_of_a_request_in_flight_is_no_rejection',
     ),
     Ablation(
-        'gateway: a late answer of another request is passed over',
+        'gateway: a late response to another request is skipped',
         [
             (
                 'transport/exchange.py',
@@ -30,7 +30,7 @@
         + 'test_requests.py::test_late_response_to_another_request_is_skipped',
     ),
     Ablation(
-        'gateway: a stream goes on behind the last whole event',
+        'gateway: a stream resumes after the last complete event',
         [
             (
                 'proxy/delivery.py',
@@ -41,7 +41,7 @@
         GATEWAY + 'test_streams.py::test_cut_stream_goes_on_at_another_engine',
     ),
     Ablation(
-        'gateway: a version never falls back',
+        'gateway: the version of the routes never decreases',
         [
             (
                 'catalogue/records.py',
@@ -53,7 +53,7 @@
         + 'test_translation.py::test_older_version_at_a_later_revision_is_ignored',
     ),
     Ablation(
-        'gateway: attempts elsewhere count like those at home',
+        'gateway: attempts in other regions count like local ones',
         [
             (
                 'proxy/relay_header.py',
@@ -65,7 +65,7 @@
         + 'test_knowledge.py::test_attempts_in_other_regions_count_like_those_at_home',
     ),
     Ablation(
-        'gateway: a leaving host refuses what it could not end',
+        'gateway: a leaving host rejects what it could not finish',
         [
             (
                 'gateway/leaving.py',
@@ -77,7 +77,7 @@
         + 'test_life.py::test_leaving_host_refuses_what_it_could_not_end',
     ),
     Ablation(
-        'gateway: hosts take over from watchers that lose the store',
+        'gateway: hosts replace watchers that lose the store',
         [
             (
                 'fleet/table.py',
@@ -89,7 +89,7 @@
         + 'test_watchers.py::test_others_take_over_from_watchers_that_fail',
     ),
     Ablation(
-        'gateway: a host that took a list tells all, not only changes',
+        'gateway: a host that listed the store sends all, not only changes',
         [
             (
                 'catalogue/records.py',
@@ -100,7 +100,7 @@
         GATEWAY + 'test_watchers.py::test_neighbour_that_took_a_list_tells_all',
     ),
     Ablation(
-        'gateway: hosts that do not watch ask who is ahead at once',
+        'gateway: hosts that do not watch fetch newer revisions at once',
         [
             (
                 'fleet/snapshots.py',
@@ -112,7 +112,7 @@
         + 'test_watchers.py::test_change_reaches_hosts_that_don_t_watch',
     ),
     Ablation(
-        'gateway: signals are held while libraries load',
+        'gateway: signals are deferred while libraries load',
         [
             (
                 '__main__.py',
@@ -134,7 +134,7 @@
         GATEWAY + 'test_soak.py::test_promises_hold_under_random_faults',
     ),
     Ablation(
-        'gateway: the soak finds a request that ran and was told not run',
+        'gateway: the soak finds a request that ran but is reported as not run',
         [
             (
                 'proxy/progress.py',
@@ -145,7 +145,7 @@
         GATEWAY + 'test_soak.py::test_promises_hold_under_random_faults',
     ),
     Ablation(
-        'gateway: few hosts of another region hear a heartbeat',
+        'gateway: few hosts of another region receive a heartbeat',
         [
             (
                 'fleet/heartbeats.py',
@@ -168,7 +168,7 @@
         GATEWAY + 'test_life.py::test_leaving_host_does_not_register_again',
     ),
     Ablation(
-        'gateway: what another writer spoils is used no more',
+        'gateway: records that another writer corrupts are no longer used',
         [
             (
                 'catalogue/records.py',
@@ -179,7 +179,7 @@
         GATEWAY + 'test_other_writers.py',
     ),
     Ablation(
-        'gateway: entries are checked whole',
+        'gateway: all fields of entries are validated',
         [
             (
                 'platform/entries.py',
@@ -190,7 +190,7 @@
         GATEWAY + 'test_other_writers.py',
     ),
     Ablation(
-        'gateway: a duty that fails runs again',
+        'gateway: a background task that fails is restarted',
         [
             (
                 'gateway/node.py',
@@ -201,7 +201,7 @@
         GATEWAY + 'test_other_writers.py',
     ),
     Ablation(
-        'gateway: snapshots are packed',
+        'gateway: snapshots are compressed',
         [
             (
                 'fleet/snapshots.py',
@@ -212,7 +212,7 @@
         GATEWAY + 'test_watchers.py',
     ),
     Ablation(
-        'gateway: a busy engine keeps its request',
+        'gateway: a busy engine keeps its request past the soft timeout',
         [
             (
                 'proxy/response_timeout.py',
@@ -223,7 +223,7 @@
         GATEWAY + 'test_streams.py',
     ),
     Ablation(
-        'gateway: silence ends no answer that nobody else can bring',
+        'gateway: the soft timeout does not end the last attempt',
         [
             (
                 'proxy/response_timeout.py',
--- a/tools/ablations/organisations.py
+++ b/tools/ablations/organisations.py
@@ -43,7 +43,7 @@
         KEYS + 'test_configuration_nobody_can_follow_changes_nothing',
     ),
     Ablation(
-        'homes: those of the organisation bind too',
+        'residency: the home regions of the organisation apply too',
         [
             (
                 'request/messages.py',
@@ -65,7 +65,7 @@
         FRESH + 'test_host_without_the_store_serves_no_key_past_the_bound',
     ),
     Ablation(
-        'revocation: looked at again before each send',
+        'revocation: keys are checked again before each send',
         [
             (
                 'proxy/key_gate.py',
@@ -169,7 +169,7 @@
         WINDOWS,
     ),
     Ablation(
-        'caps: the permit comes before the choice',
+        'caps: the permit is acquired before the target is chosen',
         [
             (
                 'proxy/forwarding.py',
