--- a/jacinthfold/gateway/node.py
+++ b/jacinthfold/gateway/node.py
@@ -67,7 +67,7 @@
         self.metrics.store_revision.set_function(
             lambda: self._knowledge.catalogue.revision
         )
-        self.metrics.lines_left_out.set_function(logs.lines_left_out)
+        self.metrics.dropped_log_lines.set_function(logs.lines_left_out)
 
     async def run(self) -> None:
         """Serve until asked to stop."""
--- a/jacinthfold/gateway/organisations.py
+++ b/jacinthfold/gateway/organisations.py
@@ -61,11 +61,11 @@
     ) -> Admission:
         """Return what looks at requests before each send."""
         quota = self.quota
-        metrics.knowledge_age.set_function(lambda: self.key_gate.age_seconds)
+        metrics.key_age.set_function(lambda: self.key_gate.age_seconds)
         metrics.shares_held.set_function(
             lambda: sum(quota.pools.held().values())
         )
-        metrics.parts_issued.set_function(lambda: len(quota.issuers.parts()))
+        metrics.shards_issued.set_function(lambda: len(quota.issuers.parts()))
         return Admission(self.key_gate, quarantine, quota.permits, metrics)
 
     def dump(self) -> dict[str, object]:
--- a/jacinthfold/gateway/request_handlers.py
+++ b/jacinthfold/gateway/request_handlers.py
@@ -161,7 +161,7 @@
                 request.body,
                 facts,
             )
-            caller = relay_header.read(work, self._clock.monotonic())
+            caller = relay_header.apply_route(work, self._clock.monotonic())
         except (ValueError, KeyError) as error:
             logs.warning('relay_malformed', reason=repr(error))
             await answer.send(HTTPStatus.BAD_REQUEST, [], b'')
--- a/jacinthfold/proxy/attempts.py
+++ b/jacinthfold/proxy/attempts.py
@@ -150,7 +150,7 @@
         )
         headers = relay_header.without_internal(headers)
         headers.extend(
-            relay_header.write(
+            relay_header.route_header(
                 request,
                 request.deadline - now,
                 now - request.received_at,
--- a/jacinthfold/proxy/metrics.py
+++ b/jacinthfold/proxy/metrics.py
@@ -58,7 +58,7 @@
             ['reason'],
             registry=self.registry,
         )
-        self.knowledge_age = Gauge(
+        self.key_age = Gauge(
             'jacinthfold_gateway_knowledge_age_seconds',
             'How old the knowledge of keys may be',
             registry=self.registry,
@@ -68,7 +68,7 @@
             'Shares of caps that this host may spend, added up',
             registry=self.registry,
         )
-        self.parts_issued = Gauge(
+        self.shards_issued = Gauge(
             'jacinthfold_gateway_cap_parts_issued',
             'Parts of the organisations whose shares this host lends',
             registry=self.registry,
@@ -83,7 +83,7 @@
             'Revision of the metadata store that this host knows',
             registry=self.registry,
         )
-        self.lines_left_out = Gauge(
+        self.dropped_log_lines = Gauge(
             'jacinthfold_log_lines_left_out',
             'Log lines that were left out since the start',
             registry=self.registry,
--- a/jacinthfold/proxy/relay_header.py
+++ b/jacinthfold/proxy/relay_header.py
@@ -42,7 +42,7 @@
     ]
 
 
-def write(
+def route_header(
     request: Request,
     remaining_seconds: float,
     elapsed_seconds: float,
@@ -77,7 +77,7 @@
     return [(REQUEST_HEADER, content)]
 
 
-def read(request: Request, now: float) -> str:
+def apply_route(request: Request, now: float) -> str:
     """Apply the route that another host wrote; raise ValueError or KeyError.
 
     Return the name of the organisation that it admitted, or an empty string.
--- a/jacinthfold/proxy/response_timeout.py
+++ b/jacinthfold/proxy/response_timeout.py
@@ -70,7 +70,7 @@
             timer.stop()
 
     def should_expire(
-        self, began_at: float, soft_timeout_seconds: float
+        self, started_at: float, soft_timeout_seconds: float
     ) -> bool:
         """Check whether a wait without any response should time out."""
         # Without another attempt, a timeout would only lose the response that
@@ -82,7 +82,7 @@
         # a failing target never responds to end at the hard timeout.
         now = self._clock.monotonic()
         is_active = now - self._last_activity_at() < soft_timeout_seconds
-        return not is_active or now - began_at >= self._hard_timeout_seconds
+        return not is_active or now - started_at >= self._hard_timeout_seconds
 
 
 class _SoftTimer:
@@ -93,7 +93,7 @@
     # went into creating, awaiting and finishing such tasks.
 
     __slots__ = (
-        '_began_at',
+        '_started_at',
         '_handle',
         '_timeout',
         '_soft_timeout_seconds',
@@ -111,7 +111,7 @@
         self._task = task
         self._soft_timeout_seconds = soft_timeout_seconds
         self._timeout = timeout
-        self._began_at = timeout.now()
+        self._started_at = timeout.now()
         # A cancellation by others takes precedence over the timeout.
         self.cancellations_before = task.cancelling()
         self.is_expired = False
@@ -126,7 +126,7 @@
 
     def _check(self) -> None:
         if self._timeout.should_expire(
-            self._began_at, self._soft_timeout_seconds
+            self._started_at, self._soft_timeout_seconds
         ):
             self.is_expired = True
             self._task.cancel()
