--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -1,4 +1,4 @@
-"""Plain requests: what callers see when targets misbehave."""
+"""Plain requests: what callers receive when targets misbehave."""
 
 import socket
 import threading
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def gateway(deployment):
-    """Give two targets of a plain service behind one host."""
+    """Start one host with two targets of a plain service."""
     deployment.put_routes(
         route('/order/', max_attempts=1),
         route('/quote/', **TWICE_ALLOWED),
@@ -38,7 +38,7 @@
 
 
 def script(deployment, *scripts):
-    """Give each target its script."""
+    """Set the script of each target."""
     for target, one in zip(deployment.targets.values(), scripts, strict=True):
         target.script = one
 
@@ -67,9 +67,9 @@
 
 
 def test_headers_that_only_the_system_sets_are_dropped(gateway):
-    """A caller names a hold, a memory to go on from and a passed request.
+    """A caller sends headers that reserve slots, copy caches or mark a relay.
 
-    Let through, it would take another caller's memory or a reserved place.
+    Forwarded, they would give it another caller's cache or a reserved slot.
     """
     forged = [
         ('Hold', '1'),
@@ -92,10 +92,10 @@
 
 
 def test_lost_answer_of_an_unrepeatable_request_is_unknown(gateway):
-    """The target runs an order and its connection breaks before the answer.
+    """The target runs an order and its connection breaks before the response.
 
-    The caller hears 502, which promises nothing, on a connection that stays
-    open; a second send would place the order twice.
+    The caller gets 502, which leaves open whether it ran, on a connection that
+    stays open; a second send would place the order twice.
     """
     script(gateway, standin.cut_after_run, standin.cut_after_run)
     connection = Connection(gateway.hosts['north-a'].callers)
@@ -110,7 +110,7 @@
 
 
 def test_lost_answer_of_a_repeatable_request_is_asked_for_again(gateway):
-    """One of two targets loses the answers of all that it runs."""
+    """One of two targets loses the responses to all that it runs."""
     script(gateway, standin.cut_after_run, standin.serve_plain)
     statuses = {gateway.ask('north-a', '/quote/1').status for _ in range(8)}
     assert statuses == {200}
@@ -141,16 +141,16 @@
 
 
 def test_truncated_body_is_no_success(gateway):
-    """The target's connection ends four bytes before the declared length."""
+    """The target's connection closes four bytes before the declared length."""
     script(gateway, standin.truncate, standin.truncate)
     assert gateway.ask('north-a', '/order/1', 'POST').status == 502
 
 
 def test_answer_that_nobody_asked_for_reaches_nobody(gateway):
-    """A target answers each request twice.
+    """A target sends two responses to each request.
 
-    The second answer lies on the connection when the next request takes it;
-    read as its answer, one caller would get what belongs to another.
+    The second one waits on the connection when the next request uses it; read
+    as its response, one caller would get what belongs to another.
     """
     script(gateway, standin.answer_twice, standin.answer_twice)
     for _ in range(10):
@@ -167,10 +167,10 @@
 
 
 def test_deadline_of_a_request_in_flight_is_no_rejection(gateway):
-    """A target works on past the route's time.
+    """A target works past the route's timeout.
 
-    The host sends the final answer then. A 503 would promise that the
-    request has not run, and the caller would send it again.
+    The host responds then. A 503 would promise that the request has not run,
+    and the caller would send it again.
     """
     script(gateway, standin.say_nothing, standin.say_nothing)
     answer = gateway.ask('north-a', '/short/1', 'POST')
@@ -195,10 +195,10 @@
 
 
 def test_address_of_another_instance_runs_nothing(gateway):
-    """A target's address was taken over by another instance.
+    """A target's address now belongs to another instance.
 
-    It answers that it is not the one that was named; the request runs at
-    the target that still is.
+    That one responds that it is not the requested instance; the request runs at
+    the other target.
     """
     gateway.targets['i-1'].instance = 'i-9'
     answers = [gateway.ask('north-a', '/order/1', 'POST') for _ in range(4)]
@@ -206,7 +206,7 @@
 
 
 def test_target_without_a_listener_is_skipped(gateway):
-    """Connections to one target are refused: nothing was sent there."""
+    """Connections to one target are refused, so nothing was sent there."""
     gateway.targets['i-1'].stop()
     answers = [gateway.ask('north-a', '/order/1', 'POST') for _ in range(6)]
     assert {answer.status for answer in answers} == {200}
@@ -252,7 +252,7 @@
 
 
 def test_request_hidden_in_a_body_does_not_run(gateway):
-    """A body holds what looks like another request."""
+    """A body contains what looks like another request."""
     hidden = b'GET /quote/hidden HTTP/1.1\r\nHost: api.example\r\n\r\n'
     assert gateway.ask('north-a', '/order/1', 'POST', body=hidden).status == 200
     assert len(executions(gateway)) == 1
@@ -295,11 +295,11 @@
 
 
 def test_shared_budget_bounds_repeats(gateway):
-    """Every target loses every answer, for many requests in a row.
+    """Every target loses every response, for many requests in a row.
 
     Each request may be sent twice; all together may not, or failing targets
     would get twice the load that they already fail under. The budget's slack
-    is 100 over 14 hosts, of which this one uses three quarters of its part.
+    is 100 over 14 hosts, of which this one uses three quarters of its share.
     """
     script(gateway, standin.cut_after_run, standin.cut_after_run)
     for _ in range(60):
@@ -309,9 +309,9 @@
 
 
 def test_outcome_header_of_a_target_is_ignored(gateway):
-    """A target runs an order and answers with the entry hosts' own word.
+    """A target runs an order and sends the entry hosts' outcome header.
 
-    Believed, the order would run a second time at another target.
+    Trusted, the header would make the order run again at another target.
     """
 
     async def forge_outcome(target, request, writer):
@@ -330,12 +330,12 @@
 
 
 def test_token_counts_out_of_range_are_rejected(gateway):
-    """A caller says that its prompt has 10^30 tokens, or less than none.
+    """A caller declares a prompt of 10^30 tokens, or of negative length.
 
-    The figure becomes a part of its host's load. No digest can be written
-    with the large one: each collector that hears of it fails for as long as
-    the request runs, and its data centre goes unheard. The negative one makes
-    the target look idle, and every host sends there.
+    The count is added to the host's load. The large one fits no digest: each
+    collector that receives it fails for as long as the request runs, and its
+    data centre is not reported. The negative one makes the target look idle,
+    and every host sends there.
     """
     for name, content in (
         ('Token-Usage', f'{10**30},1'),
