--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from jacinthfold.quarantine.ends import BEGUN, End
+from jacinthfold.quarantine.crashes import RUNNING_WEIGHT, Crash
 from tests.gateway.beating import STEP_SECONDS, Fleet
 
 CASES = ((8, 0.0), (8, 0.03), (65, 0.0), (65, 0.1), (90, 0.03))
@@ -34,14 +34,19 @@
     at_ms = round(fleet.clock.now().timestamp() * 1000)
     names = sorted(fleet.hosts)
     for number, name in enumerate(names[1:6:2]):
-        end = End(
-            f'i-{number}/1770000000000', BEGUN, is_fresh=True, at_ms=at_ms
+        end = Crash(
+            f'i-{number}/1770000000000',
+            RUNNING_WEIGHT,
+            had_no_output=True,
+            at_ms=at_ms,
         )
-        suspects(fleet, name).note_end(CULPRIT, end)
-    beside = End('i-0/1770000000000', BEGUN, is_fresh=False, at_ms=at_ms)
+        suspects(fleet, name).record_crash(CULPRIT, end)
+    beside = Crash(
+        'i-0/1770000000000', RUNNING_WEIGHT, had_no_output=False, at_ms=at_ms
+    )
     for number in range(crowd):
         name = fleet.random.choice(names)
-        suspects(fleet, name).note_end(f'{number:032x}', beside)
+        suspects(fleet, name).record_crash(f'{number:032x}', beside)
 
 
 def suspects(fleet, name):
--- a/jacinthfold/fleet/digest_exchange.py
+++ b/jacinthfold/fleet/digest_exchange.py
@@ -14,7 +14,7 @@
 from jacinthfold.fleet.gathering import Gathering
 from jacinthfold.fleet.proofs import ProofExchange
 from jacinthfold.fleet.table import HostEntry, HostTable
-from jacinthfold.quarantine.ends import SuspectWord
+from jacinthfold.quarantine.crashes import SuspectReport
 
 # Hosts of another data centre that hear a digest while nobody there is heard.
 UNHEARD_FANOUT = 3
@@ -48,7 +48,7 @@
         self._clock = clock
         self._random = random.Random()
         self._count = 0
-        self.suspect_news: Callable[[bool], list[SuspectWord]] = _no_news
+        self.suspect_news: Callable[[bool], list[SuspectReport]] = _no_news
 
     def tell(self, rank: int) -> None:
         """Send a digest to those that are due, as a collector of a rank."""
@@ -106,5 +106,5 @@
             self._send(content, (record.address, record.relay_port))
 
 
-def _no_news(_: bool) -> list[SuspectWord]:
+def _no_news(_: bool) -> list[SuspectReport]:
     return []
--- a/jacinthfold/fleet/digest_message.py
+++ b/jacinthfold/fleet/digest_message.py
@@ -12,7 +12,7 @@
 )
 from jacinthfold.fleet.table import HostState
 from jacinthfold.placement.request_limit import LimitWord
-from jacinthfold.quarantine.ends import SuspectWord
+from jacinthfold.quarantine.crashes import SuspectReport
 
 
 class HostWord(msgspec.Struct, array_like=True):
@@ -63,7 +63,7 @@
     # Sums of what answers say of each service's engines.
     laws: dict[str, list[float]] = {}
     # Requests under which targets ended.
-    suspects: list[SuspectWord] = []
+    suspects: list[SuspectReport] = []
     # Limits that targets named to these hosts, by the life of a target.
     limits: dict[str, LimitWord] = {}
     # How old its maker's knowledge of the store was.
--- a/jacinthfold/fleet/digests.py
+++ b/jacinthfold/fleet/digests.py
@@ -11,7 +11,7 @@
 from jacinthfold.placement import limit_words, limits
 from jacinthfold.placement.target import Load
 from jacinthfold.placement.targets import TargetTable
-from jacinthfold.quarantine.ends import SuspectWord
+from jacinthfold.quarantine.crashes import SuspectReport
 
 # A data centre's first collector tells every 0.2 s; after three that did not
 # come another one's digest is taken.
@@ -77,7 +77,9 @@
         self._clock = clock
         self._current: dict[str, _Current] = {}
         self.own_loads = OwnLoads()
-        self.take_suspects: Callable[[list[SuspectWord]], None] = _take_nothing
+        self.take_suspects: Callable[[list[SuspectReport]], None] = (
+            _take_nothing
+        )
 
     def take(self, digest: Digest) -> None:
         """Take a digest if it is the better one of its data centre."""
@@ -196,5 +198,5 @@
     )
 
 
-def _take_nothing(_: list[SuspectWord]) -> None:
+def _take_nothing(_: list[SuspectReport]) -> None:
     """Take words on requests and keep none."""
--- a/jacinthfold/fleet/heartbeat_content.py
+++ b/jacinthfold/fleet/heartbeat_content.py
@@ -54,7 +54,9 @@
         )
         now = self._clock.monotonic()
         heartbeat.uses = self._targets.recent_uses.by_life(now)
-        heartbeat.suspects = self.suspects.news(is_near=True, is_full=is_full)
+        heartbeat.suspects = self.suspects.reports_to_send(
+            is_near=True, is_full=is_full
+        )
         if is_full:
             heartbeat.read_tokens = self._targets.own_read_tokens()
             heartbeat.laws = self._targets.laws.own_sums()
@@ -66,7 +68,9 @@
         # the own region goes by them.
         heartbeat = self._heartbeat(count)
         heartbeat.rooms = self._rooms()
-        heartbeat.suspects = self.suspects.news(is_near=False, is_full=True)
+        heartbeat.suspects = self.suspects.reports_to_send(
+            is_near=False, is_full=True
+        )
         return heartbeat
 
     def _heartbeat(self, count: int) -> Heartbeat:
--- a/jacinthfold/fleet/heartbeat_message.py
+++ b/jacinthfold/fleet/heartbeat_message.py
@@ -13,7 +13,7 @@
 from jacinthfold.catalogue.host_codec import HostDocument
 from jacinthfold.fleet.table import HostState
 from jacinthfold.placement.request_limit import LimitWord
-from jacinthfold.quarantine.ends import SuspectWord
+from jacinthfold.quarantine.crashes import SuspectReport
 
 # Requests, unread tokens, held tokens, urgent unread tokens.
 LoadFigures = tuple[int, int, int, int]
@@ -54,7 +54,7 @@
     # Number of this heartbeat since the host started.
     count: int = 0
     # Requests under which targets ended.
-    suspects: list[SuspectWord] = []
+    suspects: list[SuspectReport] = []
     # Limits that targets named to this host, by the life of a target.
     limits: dict[str, LimitWord] = {}
     # How old the knowledge of the store is, and of whom what was heard last.
--- a/jacinthfold/fleet/heartbeats.py
+++ b/jacinthfold/fleet/heartbeats.py
@@ -80,8 +80,8 @@
         self._collectors = Collectors(hosts)
         self._gathering = Gathering(hosts.own)
         self._digests = DigestView(hosts, targets, clock)
-        self._digests.take_suspects = lambda words: self.content.suspects.take(
-            words, is_near=True
+        self._digests.take_suspects = lambda words: (
+            self.content.suspects.merge_reports(words, is_near=True)
         )
         self.proofs = ProofExchange(hosts.own, catalogue.freshness, clock)
         self._exchange = DigestExchange(
@@ -94,7 +94,9 @@
             clock,
         )
         self._exchange.suspect_news = lambda is_full: (
-            self.content.suspects.news(is_near=False, is_full=is_full)
+            self.content.suspects.reports_to_send(
+                is_near=False, is_full=is_full
+            )
         )
         self._transport: asyncio.DatagramTransport | None = None
         self._count = 0
@@ -264,7 +266,7 @@
             reads_digests=heartbeat.digests,
         )
         is_near = host.region == self._hosts.own.region
-        self.content.suspects.take(heartbeat.suspects, is_near=is_near)
+        self.content.suspects.merge_reports(heartbeat.suspects, is_near=is_near)
         now = self._clock.monotonic()
         if heartbeat.state is HostState.ACTIVE:
             self._regions.take(host.name, _report(host.region, heartbeat, now))
--- a/jacinthfold/gateway/knowledge.py
+++ b/jacinthfold/gateway/knowledge.py
@@ -93,7 +93,7 @@
             retries.ratio, retries.slack, retries.window_seconds, clock
         )
         self.quarantine = Quarantine(self.targets, adapter.store, clock)
-        self.quarantine.key_maker.may_make = lambda: (
+        self.quarantine.key_creator.may_create = lambda: (
             self.catalogue.routes is not None and watchers.own_watches()
         )
         self.heartbeats.content.suspects = self.quarantine.suspects
@@ -150,11 +150,11 @@
 
     def on_quarantine(self, name: str, content: bytes | None) -> None:
         """Take a record on requests under which targets ended."""
-        self.quarantine.take_record(name, content)
+        self.quarantine.apply_record(name, content)
 
     def on_issuer(self, name: str, record: Record) -> None:
         """Take which host issues shares of caps, or that none does."""
-        self.organisations.quota.issuers.take_record(name, record)
+        self.organisations.quota.issuers.apply_record(name, record)
 
     async def keep_house(self) -> None:
         """Become ready, and drop what is gone, until cancelled."""
@@ -164,10 +164,10 @@
             self._follow_hosts_at_times()
             for target in self.targets.forget_gone():
                 self.pool.forget(target.place)
-                self.quarantine.witness.forget(target)
+                self.quarantine.crash_detector.forget(target)
                 logs.event('target_gone', target=target.record.instance)
             self._tell_laws()
-            self.quarantine.suspects.forget_at_times()
+            self.quarantine.suspects.expire_if_due()
 
     def dump(self) -> dict[str, Any]:
         """Return what this host believes."""
--- a/jacinthfold/gateway/node.py
+++ b/jacinthfold/gateway/node.py
@@ -91,7 +91,7 @@
                 known.budgets,
                 dialect,
                 self.metrics,
-                known.quarantine.witness,
+                known.quarantine.crash_detector,
                 self._clock,
             ),
             known.budgets,
@@ -161,7 +161,7 @@
             known.snapshots.run,
             known.pool.run,
             known.keep_house,
-            known.quarantine.key_maker.run,
+            known.quarantine.key_creator.run,
             known.quarantine.writer.run,
             self._watch_settings,
         ):
--- a/jacinthfold/gateway/organisations.py
+++ b/jacinthfold/gateway/organisations.py
@@ -14,8 +14,8 @@
 from jacinthfold.proxy.metrics import ProxyMetrics
 from jacinthfold.quarantine.quarantine import Quarantine
 from jacinthfold.quota.bounds import Window
+from jacinthfold.quota.coordinator import QuotaCoordinator
 from jacinthfold.quota.messages import QUOTA_MARK
-from jacinthfold.quota.office import QuotaOffice
 
 _MS = 1000
 
@@ -36,20 +36,20 @@
         bound_seconds = found.revocation_ms / _MS or None
         self.key_gate = KeyGate(catalogue, bound_seconds)
         window = Window(found.window_seconds, found.excess_ratio, found.slack)
-        self.quota = QuotaOffice(hosts, store, window, clock)
+        self.quota = QuotaCoordinator(hosts, store, window, clock)
         self.prover = Prover(store, catalogue, clock)
         self._heartbeats: Heartbeats | None = None
 
     def join(self, follower: Follower, heartbeats: Heartbeats) -> None:
         """Take who watches the store, and whose socket carries messages."""
         self.prover.watches = lambda: follower.watches()
-        heartbeats.takers[QUOTA_MARK] = self.quota.take
-        self.quota.post.send = heartbeats.send
+        heartbeats.takers[QUOTA_MARK] = self.quota.handle_datagram
+        self.quota.outbox.send = heartbeats.send
         self._heartbeats = heartbeats
 
     def follow(self, table: RouteTable) -> None:
         """Take newer organisations."""
-        self.quota.pools.follow(table)
+        self.quota.pools.update_routes(table)
         # Reads and bytes are spent on it only where keys must end in time.
         is_needed = bool(len(table.organisations)) and self.key_gate.is_bounded
         self.prover.is_needed = is_needed
@@ -65,7 +65,9 @@
         metrics.shares_held.set_function(
             lambda: sum(quota.pools.held().values())
         )
-        metrics.parts_issued.set_function(lambda: len(quota.issuers.parts()))
+        metrics.parts_issued.set_function(
+            lambda: len(quota.issuers.issued_shards())
+        )
         return Admission(self.key_gate, quarantine, quota.permits, metrics)
 
     def dump(self) -> dict[str, object]:
@@ -73,5 +75,5 @@
         return {
             'knowledge_age_seconds': self.key_gate.age_seconds,
             'cap_shares': self.quota.pools.held(),
-            'cap_parts': self.quota.issuers.parts(),
+            'cap_parts': self.quota.issuers.issued_shards(),
         }
--- a/jacinthfold/organisations/credentials.py
+++ b/jacinthfold/organisations/credentials.py
@@ -7,7 +7,7 @@
 _SECRET = secrets.token_bytes(32)
 _DIGEST_BYTES = 16
 # Longer than any key that operators declare; the rest is never hashed.
-KEY_LIMIT_BYTES = 8192
+MAX_KEY_BYTES = 8192
 _SCHEME = b'bearer'
 
 
@@ -23,6 +23,6 @@
         return None
     scheme, _, key = credentials[0].strip().partition(b' ')
     key = key.strip()
-    if scheme.lower() != _SCHEME or not 0 < len(key) <= KEY_LIMIT_BYTES:
+    if scheme.lower() != _SCHEME or not 0 < len(key) <= MAX_KEY_BYTES:
         return None
     return digest_of(key)
--- a/jacinthfold/organisations/model.py
+++ b/jacinthfold/organisations/model.py
@@ -14,7 +14,7 @@
         'burst',
         'counts_tokens',
         'per_second',
-        'plain_tokens',
+        'default_tokens',
     )
 
     def __init__(
@@ -23,20 +23,20 @@
         burst: float,
         *,
         counts_tokens: bool = False,
-        plain_tokens: int = 0,
+        default_tokens: int = 0,
     ) -> None:
         """Take rate and burst, in tokens or in requests."""
         self.per_second = per_second
         self.burst = burst
         self.counts_tokens = counts_tokens
         # What a request counts that names no tokens.
-        self.plain_tokens = plain_tokens
+        self.default_tokens = default_tokens
 
     def cost(self, prompt_tokens: int, output_tokens: int) -> int:
         """Return what a request counts."""
         if not self.counts_tokens:
             return 1
-        return (prompt_tokens + output_tokens) or self.plain_tokens
+        return (prompt_tokens + output_tokens) or self.default_tokens
 
 
 class Organisation:
@@ -76,13 +76,13 @@
         """Tell whether any organisation has a cap."""
         return any(one.cap is not None for one in self._by_name.values())
 
-    def holding(self, key_digest: bytes | None) -> Organisation | None:
+    def find_by_key(self, key_digest: bytes | None) -> Organisation | None:
         """Return who holds a key."""
         # By digest under a secret: how long the look-up takes tells nothing
         # of a key.
         return self._by_digest.get(key_digest) if key_digest else None
 
-    def named(self, name: str) -> Organisation | None:
+    def find_by_name(self, name: str) -> Organisation | None:
         """Return an organisation by its name."""
         return self._by_name.get(name)
 
--- a/jacinthfold/platform/organisations.py
+++ b/jacinthfold/platform/organisations.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from jacinthfold.organisations.credentials import KEY_LIMIT_BYTES, digest_of
+from jacinthfold.organisations.credentials import MAX_KEY_BYTES, digest_of
 from jacinthfold.organisations.model import (
     Cap,
     Organisation,
@@ -38,7 +38,7 @@
     if not 0 < len(entry.name) <= NAME_LIMIT or not entry.name.isprintable():
         raise ValueError(f'no name for an organisation: {entry.name[:20]!r}')
     keys = [key.encode() for key in entry.api_keys]
-    if any(not 0 < len(key) <= KEY_LIMIT_BYTES for key in keys):
+    if any(not 0 < len(key) <= MAX_KEY_BYTES for key in keys):
         raise ValueError(f'{entry.name}: a key without content, or too long')
     found = Organisation(entry.name, map(digest_of, keys))
     if entry.priority is not None:
@@ -59,7 +59,7 @@
         entry.rate_per_s,
         entry.burst,
         counts_tokens=entry.unit == _TOKENS,
-        plain_tokens=entry.uncached_tokens,
+        default_tokens=entry.uncached_tokens,
     )
 
 
--- a/jacinthfold/proxy/admission.py
+++ b/jacinthfold/proxy/admission.py
@@ -9,7 +9,7 @@
 from jacinthfold.proxy.metrics import ProxyMetrics
 from jacinthfold.proxy.progress import Progress
 from jacinthfold.quarantine.quarantine import Quarantine
-from jacinthfold.quota.permits import Permit, Permits
+from jacinthfold.quota.permits import Permit, PermitClient
 from jacinthfold.request.messages import Request
 
 # Hosts that know the store's state are named by the directory; a caller that
@@ -26,7 +26,7 @@
         self,
         gate: KeyGate,
         quarantine: Quarantine,
-        permits: Permits,
+        permits: PermitClient,
         metrics: ProxyMetrics,
     ) -> None:
         """Take who knows keys, bad requests and caps."""
@@ -85,9 +85,9 @@
         # 503 where nobody can tell what the cap still allows: the
         # organisation has not asked for too much.
         reason, status = 'no_share', HTTPStatus.SERVICE_UNAVAILABLE
-        if answer.is_over:
+        if answer.is_over_cap:
             reason, status = 'over_cap', HTTPStatus.TOO_MANY_REQUESTS
-        progress.note_turned_away(reason, status, answer.after_seconds)
+        progress.note_turned_away(reason, status, answer.retry_after_seconds)
         self._metrics.turned_away.labels(reason).inc()
         logs.event(
             'request_turned_away',
@@ -96,14 +96,14 @@
             reason=reason,
             cost=cost,
             cap_per_second=organisation.cap.per_second,
-            after_seconds=answer.after_seconds,
+            after_seconds=answer.retry_after_seconds,
         )
         return False
 
     def settle(self, progress: Progress) -> None:
         """Return a permit that no run used."""
         if not progress.is_out:
-            self._permits.give_back(progress.permit)
+            self._permits.refund(progress.permit)
 
     def _barrier_reason(self, request: Request) -> str:
         barrier = self.gate.barrier(request)
--- a/jacinthfold/proxy/attempts.py
+++ b/jacinthfold/proxy/attempts.py
@@ -19,7 +19,7 @@
 from jacinthfold.proxy.outcome import Ending, Outcome, told_outcome
 from jacinthfold.proxy.patience import Patience
 from jacinthfold.proxy.progress import Progress
-from jacinthfold.quarantine.witness import Witness
+from jacinthfold.quarantine.crash_detector import CrashDetector
 from jacinthfold.request.messages import Headers, Request
 from jacinthfold.transport.dialect import Dialect
 from jacinthfold.transport.errors import ConnectFailedError, ProxyError
@@ -60,7 +60,7 @@
         budgets: RetryBudgets,
         dialect: Dialect,
         metrics: ProxyMetrics,
-        witness: Witness,
+        witness: CrashDetector,
         clock: Clock,
     ) -> None:
         """Take the connections and the parts that learn from attempts."""
@@ -95,8 +95,10 @@
             headers.extend(self._dialect.copy_headers(place))
         patience = self._patience(request, progress, lambda: target.heard_at)
         delivery = Delivery(request, answer, progress, patience, self._clock)
-        attempt = self._witness.begin(request, target, delivery.withdraw)
-        delivery.on_heard = partial(attempt.note_heard, self._clock)
+        attempt = self._witness.start_attempt(
+            request, target, delivery.withdraw
+        )
+        delivery.on_heard = partial(attempt.record_activity, self._clock)
         began_at = self._clock.monotonic()
         prompt = unread.UnreadPrompt(estimate, request)
         delivery.on_first_event = prompt.note_read
@@ -112,7 +114,7 @@
             )
         finally:
             prompt.release()
-            self._witness.note_over(
+            self._witness.record_finish(
                 attempt,
                 delivery.first_event_at,
                 is_broken=delivery.is_broken,
--- a/jacinthfold/proxy/forwarding.py
+++ b/jacinthfold/proxy/forwarding.py
@@ -123,7 +123,7 @@
 
     def _note_served(self, request: Request, answer: CallerAnswer) -> None:
         if answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
-            self._quarantine.note_served(request)
+            self._quarantine.record_served(request)
 
     async def _attempt(
         self,
--- a/jacinthfold/proxy/key_gate.py
+++ b/jacinthfold/proxy/key_gate.py
@@ -61,12 +61,12 @@
     def holder(self, key_digest: bytes | None) -> Organisation | None:
         """Return who holds a key now."""
         table = self._catalogue.routes
-        return table.organisations.holding(key_digest) if table else None
+        return table.organisations.find_by_key(key_digest) if table else None
 
     def named(self, name: str) -> Organisation | None:
         """Return an organisation that another host let in."""
         table = self._catalogue.routes
-        return table.organisations.named(name) if table else None
+        return table.organisations.find_by_name(name) if table else None
 
     def barrier(self, request: Request) -> Barrier | None:
         """Return why a request may not be sent now, None if it may."""
--- /dev/null
+++ b/jacinthfold/quarantine/crash_detector.py
@@ -0,0 +1,294 @@
+"""See targets end, and which requests were there when they did.
+
+A connection that breaks says little: a link may have been reset, or one
+answer spoiled. A target has ended when nothing listens at its address any
+more, or when its record is gone though it was not leaving.
+"""
+
+import asyncio
+from collections.abc import Awaitable, Callable, Iterable
+
+from jacinthfold import logs
+from jacinthfold.clock import Clock
+from jacinthfold.placement.target import Target
+from jacinthfold.placement.targets import TargetTable
+from jacinthfold.quarantine.crash_model import (
+    Attempt,
+    CrashCause,
+    PresentRequest,
+    TargetCrash,
+    TargetIncarnation,
+)
+from jacinthfold.quarantine.fingerprints import Fingerprints
+from jacinthfold.quarantine.head_timing import HeadTiming
+from jacinthfold.request.messages import Request
+from jacinthfold.transport.channel import connect
+from jacinthfold.transport.errors import ConnectFailedError
+
+# After the first broken connection: the others of the same end break within a
+# few milliseconds.
+SETTLE_SECONDS = 0.05
+# A process that has ended refuses at once; one more look catches those whose
+# listening socket outlived the connections.
+RECHECK_DELAY_SECONDS = 0.5
+PROBE_TIMEOUT_SECONDS = 0.4
+# Records of ended targets lapse after three of their heartbeats, and are heard
+# of a second later.
+RECORD_EXPIRY_SECONDS = 8.0
+# Targets of one data centre whose connections break this close to each other
+# lost a rack or a link; two that each run the same request may do so too.
+SIMULTANEOUS_SECONDS = 0.05
+# Sends to a cold target beyond its pace, in one second, that it may die of.
+OVERRUN_FACTOR = 1.5
+SEND_WINDOW_SECONDS = 1.0
+MAX_LINES_PER_CRASH = 16
+
+
+class CrashDetector:
+    """Follow what is at targets and report their ends."""
+
+    def __init__(
+        self, targets: TargetTable, fingerprints: Fingerprints, clock: Clock
+    ) -> None:
+        """Take the targets and what requests are known by."""
+        self._targets = targets
+        self._fingerprints = fingerprints
+        self._clock = clock
+        self._heads = HeadTiming()
+        self._incarnations: dict[str, TargetIncarnation] = {}
+        self._tasks: set[asyncio.Task[None]] = set()
+        self.on_crash: Callable[[TargetCrash], None] = _ignore_crash
+        self.is_listening: Callable[[Target], Awaitable[bool | None]] = (
+            _is_listening
+        )
+
+    def start_attempt(
+        self, request: Request, target: Target, withdraw: Callable[[], None]
+    ) -> Attempt:
+        """Take that a request leaves for a target."""
+        incarnation = self._incarnations.setdefault(
+            target.record.life, TargetIncarnation()
+        )
+        if incarnation.has_crashed:
+            # It listens again under the same name, and another end may come.
+            incarnation = TargetIncarnation()
+            self._incarnations[target.record.life] = incarnation
+        attempt = Attempt(request, target, incarnation, withdraw)
+        now = self._clock.monotonic()
+        service = self._targets.service(target.record.service)
+        # Plain services say nothing until they answer, and take calls up as
+        # long as they have slots.
+        is_free = target.load(now).requests <= target.record.slots
+        attempt.is_started = is_free and not service.is_engine
+        incarnation.attempts.append(attempt)
+        if target.cold_until > now:
+            limit = now - SEND_WINDOW_SECONDS
+            incarnation.send_times = [
+                one for one in incarnation.send_times if one > limit
+            ]
+            incarnation.send_times.append(now)
+        return attempt
+
+    def record_finish(
+        self, attempt: Attempt, first_event_at: float, *, is_broken: bool
+    ) -> None:
+        """Take that an attempt is over, and when its first event came.
+
+        The time is 0 where none came; broken means by the other side.
+        """
+        attempt.first_event_at = first_event_at or None
+        target = attempt.target
+        incarnation = attempt.incarnation
+        incarnation.attempts.remove(attempt)
+        self._record_head(attempt)
+        if is_broken:
+            self._record_broken(incarnation, attempt)
+        elif (
+            not incarnation.attempts
+            and not incarnation.broken
+            and not incarnation.send_times
+        ):
+            self._drop(target, incarnation)
+
+    def attempts(self) -> list[Attempt]:
+        """Return all requests that are at targets."""
+        return [
+            one
+            for incarnation in self._incarnations.values()
+            for one in incarnation.attempts
+        ]
+
+    def forget(self, target: Target) -> None:
+        """Drop a life that is gone."""
+        incarnation = self._incarnations.get(target.record.life)
+        if incarnation is None or incarnation.attempts:
+            return
+        if incarnation.has_crashed or not incarnation.broken:
+            self._drop(target, incarnation)
+
+    def _drop(self, target: Target, incarnation: TargetIncarnation) -> None:
+        if self._incarnations.get(target.record.life) is incarnation:
+            self._incarnations.pop(target.record.life)
+
+    def _record_head(self, attempt: Attempt) -> None:
+        if attempt.started_at is None or attempt.first_event_at is None:
+            return
+        lead_seconds = attempt.first_event_at - attempt.started_at
+        self._heads.record(attempt.target.record.service, lead_seconds)
+
+    def _heads_are_early(self, target: Target) -> bool:
+        service = self._targets.service(target.record.service)
+        return not service.is_engine or self._heads.are_early(service.name)
+
+    def _record_broken(
+        self, incarnation: TargetIncarnation, attempt: Attempt
+    ) -> None:
+        target = attempt.target
+        if incarnation.has_crashed:
+            # Noticed late: the others of this end were told already.
+            if incarnation.cause is CrashCause.UNKNOWN:
+                self._report(target, [attempt], CrashCause.UNKNOWN)
+            return
+        incarnation.broken.append(attempt)
+        if len(incarnation.broken) > 1:
+            return
+        incarnation.broken_at = self._clock.monotonic()
+        if target.last_resort_until is not None:
+            # It was leaving: its end is planned, and nobody's fault.
+            incarnation.broken.clear()
+            return
+        task = asyncio.get_running_loop().create_task(
+            self._confirm_crash(target, incarnation),
+            name=f'look {target.record.life}',
+        )
+        self._tasks.add(task)
+        task.add_done_callback(self._on_confirmed)
+
+    def _on_confirmed(self, task: asyncio.Task[None]) -> None:
+        self._tasks.discard(task)
+        if not task.cancelled() and task.exception() is not None:
+            logs.error('look_failed', reason=repr(task.exception()))
+
+    async def _confirm_crash(
+        self, target: Target, incarnation: TargetIncarnation
+    ) -> None:
+        """Find out whether a target whose connections broke has ended."""
+        is_listening = await self._is_listening_after(target, SETTLE_SECONDS)
+        if is_listening is not False:
+            is_listening = await self._is_listening_after(
+                target, RECHECK_DELAY_SECONDS
+            )
+        if is_listening is False:
+            self._record_crash(target, incarnation)
+            return
+        # Nobody answers, neither yes nor no: its record will tell.
+        limit = incarnation.broken_at + RECORD_EXPIRY_SECONDS
+        while is_listening is None and self._clock.monotonic() < limit:
+            await asyncio.sleep(PROBE_TIMEOUT_SECONDS)
+            if target.is_removed:
+                self._record_crash(target, incarnation)
+                return
+        incarnation.broken.clear()
+
+    async def _is_listening_after(
+        self, target: Target, pause_seconds: float
+    ) -> bool | None:
+        await asyncio.sleep(pause_seconds)
+        return await self.is_listening(target)
+
+    def _record_crash(
+        self, target: Target, incarnation: TargetIncarnation
+    ) -> None:
+        cause, present = self._find_cause(target, incarnation)
+        incarnation.cause = cause
+        self._report(target, present, cause)
+
+    def _find_cause(
+        self, target: Target, incarnation: TargetIncarnation
+    ) -> tuple[CrashCause, list[Attempt]]:
+        """Return the cause, and the requests that may have been it."""
+        service = self._targets.service(target.record.service)
+        pace = service.cold_requests_per_second * OVERRUN_FACTOR
+        since = incarnation.broken_at - SEND_WINDOW_SECONDS
+        sends = sum(1 for one in incarnation.send_times if one > since)
+        if target.cold_until > incarnation.broken_at and 0 < pace < sends:
+            return CrashCause.COLD_OVERRUN, []
+        simultaneous = self._broken_simultaneously(target, incarnation)
+        if not simultaneous:
+            return CrashCause.UNKNOWN, incarnation.broken
+        elsewhere = {
+            self._fingerprints.of(attempt.request) for attempt in simultaneous
+        }
+        common = [
+            attempt
+            for attempt in incarnation.broken
+            if self._fingerprints.of(attempt.request) in elsewhere
+        ]
+        return CrashCause.SEVERAL_TOGETHER, common
+
+    def _broken_simultaneously(
+        self, target: Target, incarnation: TargetIncarnation
+    ) -> list[Attempt]:
+        """Return what was at other targets that broke at the same moment."""
+        return [
+            attempt
+            for other in self._incarnations.values()
+            if other is not incarnation
+            and abs(other.broken_at - incarnation.broken_at)
+            < SIMULTANEOUS_SECONDS
+            for attempt in other.broken
+            if attempt.target.record.data_centre == target.record.data_centre
+        ]
+
+    def _report(
+        self, target: Target, attempts: Iterable[Attempt], cause: CrashCause
+    ) -> None:
+        present = [
+            PresentRequest(
+                attempt,
+                self._fingerprints.of(attempt.request),
+                is_started=attempt.is_started
+                or not self._heads_are_early(target),
+            )
+            for attempt in attempts
+        ]
+        # Noted in this order: what a likelier one explains is not refused.
+        present.sort(key=_likeliest_first)
+        crash = TargetCrash(target, cause, present)
+        logs.warning(
+            'target_ended',
+            target=target.record.instance,
+            life=crash.incarnation_id,
+            service=crash.service,
+            cause=cause.value,
+            present=len(present),
+            begun=sum(one.is_started for one in present),
+        )
+        for one in present[:MAX_LINES_PER_CRASH]:
+            logs.warning(
+                'request_at_end',
+                request=one.request_id,
+                fingerprint=one.fingerprint,
+                target=target.record.instance,
+                begun=one.is_started,
+                events=one.has_events,
+            )
+        self.on_crash(crash)
+
+
+def _likeliest_first(one: PresentRequest) -> tuple[bool, bool]:
+    return not one.is_started, one.has_events
+
+
+async def _is_listening(target: Target) -> bool | None:
+    """Tell whether something listens at a target, None if nobody says."""
+    try:
+        channel = await connect(target.record.address, PROBE_TIMEOUT_SECONDS)
+    except ConnectFailedError as error:
+        return False if error.is_refused else None
+    channel.close()
+    return True
+
+
+def _ignore_crash(_: TargetCrash) -> None:
+    """Hear of an end and do nothing."""
--- a/jacinthfold/quarantine/key.py
+++ b/jacinthfold/quarantine/fingerprint_key.py
@@ -15,10 +15,10 @@
 
 KEY_NAME = 'key'
 # Many hosts start together; the first ones to look make the key.
-LOOK_SECONDS = (0.2, 0.8)
+CHECK_DELAY_SECONDS = (0.2, 0.8)
 
 
-class KeyMaker:
+class FingerprintKeyCreator:
     """Have the store hold a key, made by whoever is first."""
 
     def __init__(
@@ -29,16 +29,16 @@
         self._fingerprints = fingerprints
         # Whether this host has read the store or a neighbour's records, and
         # watches the store: others hear of the key from one that does.
-        self.may_make: Callable[[], bool] = lambda: True
+        self.may_create: Callable[[], bool] = lambda: True
 
     async def run(self) -> None:
         """Make the key unless there is one."""
         while not self._fingerprints.has_key:
-            await asyncio.sleep(random.uniform(*LOOK_SECONDS))
-            if self.may_make() and not self._fingerprints.has_key:
-                await self._make()
+            await asyncio.sleep(random.uniform(*CHECK_DELAY_SECONDS))
+            if self.may_create() and not self._fingerprints.has_key:
+                await self._create()
 
-    async def _make(self) -> None:
+    async def _create(self) -> None:
         key = secrets.token_bytes(KEY_BYTES)
         try:
             await self._store.create_quarantine(KEY_NAME, key)
--- a/jacinthfold/quarantine/fingerprints.py
+++ b/jacinthfold/quarantine/fingerprints.py
@@ -29,7 +29,7 @@
         """Tell whether fingerprints can be made yet."""
         return bool(self._key)
 
-    def use_key(self, key: bytes) -> None:
+    def set_key(self, key: bytes) -> None:
         """Take the key that the deployment's hosts share."""
         self._key = key
         logs.event('fingerprints_keyed')
@@ -51,8 +51,8 @@
         """Return the fingerprint of what tells requests apart."""
         if not self._key:
             return ''
-        made = hashlib.blake2b(digest_size=FINGERPRINT_BYTES, key=self._key)
+        digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES, key=self._key)
         for part in parts:
-            made.update(len(part).to_bytes(_LENGTH_BYTES))
-            made.update(part)
-        return made.hexdigest()
+            digest.update(len(part).to_bytes(_LENGTH_BYTES))
+            digest.update(part)
+        return digest.hexdigest()
--- a/jacinthfold/quarantine/heads.py
+++ b/jacinthfold/quarantine/head_timing.py
@@ -4,12 +4,12 @@
 # queue, others with the first event. A head tells running from queued only
 # where it comes this much before the event: a prompt's reading takes 5 ms and
 # more, two writes of the same moment arrive within 0.1 ms.
-LEAD_SECONDS = 0.001
+MIN_LEAD_SECONDS = 0.001
 # Weight of the newest answer; ten answers of another kind change the belief.
-NEWEST_WEIGHT = 0.1
+SMOOTHING_FACTOR = 0.1
 # Heads are believed when most of the latest ones led. Before the first answer
 # none did: every request that was sent may have been running.
-BELIEVED_SHARE = 0.5
+EARLY_HEAD_THRESHOLD = 0.5
 
 
 class HeadTiming:
@@ -21,12 +21,12 @@
         """Start without answers."""
         self._shares: dict[str, float] = {}
 
-    def note(self, service: str, lead_seconds: float) -> None:
+    def record(self, service: str, lead_seconds: float) -> None:
         """Take how long before its first event an answer's head came."""
-        led = float(lead_seconds > LEAD_SECONDS)
-        share = self._shares.get(service, led)
-        self._shares[service] = share + NEWEST_WEIGHT * (led - share)
+        was_early = float(lead_seconds > MIN_LEAD_SECONDS)
+        share = self._shares.get(service, was_early)
+        self._shares[service] = share + SMOOTHING_FACTOR * (was_early - share)
 
-    def tells(self, service: str) -> bool:
+    def are_early(self, service: str) -> bool:
         """Tell whether a request without a head is still queued."""
-        return self._shares.get(service, 0.0) > BELIEVED_SHARE
+        return self._shares.get(service, 0.0) > EARLY_HEAD_THRESHOLD
--- a/jacinthfold/quarantine/quarantine.py
+++ b/jacinthfold/quarantine/quarantine.py
@@ -3,17 +3,25 @@
 from jacinthfold.catalogue.metadata import MetadataStore
 from jacinthfold.clock import Clock
 from jacinthfold.placement.targets import TargetTable
-from jacinthfold.quarantine.ends import BEGUN, WAITING, End, Suspect
+from jacinthfold.quarantine.crash_detector import CrashDetector
+from jacinthfold.quarantine.crash_model import PresentRequest, TargetCrash
+from jacinthfold.quarantine.crashes import (
+    QUEUED_WEIGHT,
+    RUNNING_WEIGHT,
+    Crash,
+    Suspect,
+)
+from jacinthfold.quarantine.fingerprint_key import (
+    KEY_NAME,
+    FingerprintKeyCreator,
+)
 from jacinthfold.quarantine.fingerprints import Fingerprints
-from jacinthfold.quarantine.key import KEY_NAME, KeyMaker
-from jacinthfold.quarantine.presence import Presence, TargetEnd
 from jacinthfold.quarantine.store_writer import (
-    STORED_ENDS,
+    MIN_STORED_CRASHES,
     StoreWriter,
     read_record,
 )
 from jacinthfold.quarantine.suspects import Suspects
-from jacinthfold.quarantine.witness import Witness
 from jacinthfold.request.messages import Request
 
 _MS = 1000
@@ -41,10 +49,10 @@
         self._fingerprints = Fingerprints()
         self.suspects = Suspects(clock)
         self.suspects.on_refused = self._withdraw
-        self.suspects.on_ends = self._store_witnessed
-        self.witness = Witness(targets, self._fingerprints, clock)
-        self.witness.on_end = self._note_end
-        self.key_maker = KeyMaker(store, self._fingerprints)
+        self.suspects.on_crashes = self._store_observed
+        self.crash_detector = CrashDetector(targets, self._fingerprints, clock)
+        self.crash_detector.on_crash = self._record_crash
+        self.key_creator = FingerprintKeyCreator(store, self._fingerprints)
         self.writer = StoreWriter(store, clock)
 
     def refusal(self, request: Request) -> Refusal | None:
@@ -58,53 +66,60 @@
             return None
         return Refusal(fingerprint, seconds)
 
-    def note_served(self, request: Request) -> None:
+    def record_served(self, request: Request) -> None:
         """Take that a target answered a request and outlived it."""
         # Popular requests are at many ends by chance, and served in between.
         if not self.suspects:
             return
         fingerprint = self._fingerprints.of(request)
         suspect = self.suspects.get(fingerprint)
-        if suspect is None or not suspect.ends:
+        if suspect is None or not suspect.crashes:
             return
-        was_stored = len(suspect.ends) >= STORED_ENDS
-        self.suspects.note_served(fingerprint)
+        was_stored = len(suspect.crashes) >= MIN_STORED_CRASHES
+        self.suspects.record_served(fingerprint)
         if was_stored:
-            self.writer.put_word(suspect.word(fingerprint))
+            self.writer.put_report(suspect.to_report(fingerprint))
 
-    def take_record(self, name: str, content: bytes | None) -> None:
+    def apply_record(self, name: str, content: bytes | None) -> None:
         """Take a record of the store; raise UnreadableRecordError."""
         # Records go with their lease, also while the store is away: what they
         # said stays known here until it is too old.
         if content is None:
             return
         if name == KEY_NAME:
-            self._fingerprints.use_key(content)
+            self._fingerprints.set_key(content)
             return
-        self.suspects.take([read_record(name, content)], is_near=False)
+        self.suspects.merge_reports([read_record(name, content)], is_near=False)
 
-    def _note_end(self, ended: TargetEnd) -> None:
+    def _record_crash(self, target_crash: TargetCrash) -> None:
         at_ms = round(self._clock.now().timestamp() * _MS)
-        for one in ended.present:
-            self._note_presence(one, ended.life, at_ms)
+        for one in target_crash.present:
+            self._record_present_request(
+                one, target_crash.incarnation_id, at_ms
+            )
 
-    def _note_presence(self, one: Presence, life: str, at_ms: int) -> None:
-        weight = BEGUN if one.is_begun else WAITING
-        is_fresh = one.is_begun and not one.has_events
-        end = End(life, weight, is_fresh, at_ms)
-        self.suspects.note_end(one.fingerprint, end)
+    def _record_present_request(
+        self, one: PresentRequest, incarnation_id: str, at_ms: int
+    ) -> None:
+        weight = RUNNING_WEIGHT if one.is_started else QUEUED_WEIGHT
+        had_no_output = one.is_started and not one.has_events
+        crash = Crash(incarnation_id, weight, had_no_output, at_ms)
+        self.suspects.record_crash(one.fingerprint, crash)
 
-    def _store_witnessed(self, fingerprint: str, suspect: Suspect) -> None:
+    def _store_observed(self, fingerprint: str, suspect: Suspect) -> None:
         # Those that saw an end write, not all that heard of it: of 195 hosts
         # a few.
-        if suspect.is_witnessed and len(suspect.ends) >= STORED_ENDS:
-            self.writer.put_word(suspect.word(fingerprint))
+        if (
+            suspect.is_observed_here
+            and len(suspect.crashes) >= MIN_STORED_CRASHES
+        ):
+            self.writer.put_report(suspect.to_report(fingerprint))
 
     def _withdraw(self, fingerprint: str) -> None:
         """Take copies back that targets have not begun with."""
         # Queued at other targets, they would end those as well.
-        for attempt in self.witness.attempts():
-            if attempt.is_begun:
+        for attempt in self.crash_detector.attempts():
+            if attempt.is_started:
                 continue
             if self._fingerprints.of(attempt.request) == fingerprint:
                 attempt.withdraw()
--- a/jacinthfold/quarantine/suspects.py
+++ b/jacinthfold/quarantine/suspects.py
@@ -11,37 +11,37 @@
 
 from jacinthfold import logs
 from jacinthfold.clock import Clock
-from jacinthfold.quarantine.ends import (
-    BEGUN,
-    FORGET_SECONDS,
-    End,
+from jacinthfold.quarantine.crashes import (
+    RETENTION_SECONDS,
+    RUNNING_WEIGHT,
+    Crash,
     Suspect,
-    SuspectWord,
+    SuspectReport,
 )
 
 # Ends at which a target had begun with a request before it is refused. One
 # and two are met by requests that merely ran beside; callers' own retries and
 # ours bring few to three targets that end.
-REFUSED_ENDS = 3
-REFUSED_WEIGHT = REFUSED_ENDS * BEGUN
+REFUSAL_CRASHES = 3
+REFUSAL_WEIGHT = REFUSAL_CRASHES * RUNNING_WEIGHT
 # A request is refused for this long after the last end. It is then let through
 # again, since engines are mended by new versions; one more end refuses it anew.
-REFUSED_SECONDS = 600.0
+REFUSAL_SECONDS = 600.0
 # How often that is looked at.
-FORGET_CHECK_SECONDS = 5.0
+EXPIRY_CHECK_SECONDS = 5.0
 # 4,096 entries of three ends are some 2 MB. Those with the least weight go
 # first, of these the oldest: a flood of bodies that each ended one target
 # can't push out one that ended two.
-SUSPECTS_LIMIT = 4096
+MAX_SUSPECTS = 4096
 # Lives kept of one request: far more than it is refused after.
-ENDS_LIMIT = 32
+MAX_CRASHES_PER_SUSPECT = 32
 # What changed is told for this long: ten heartbeats to the own region, three
 # or more to others.
-NEWS_SECONDS = 2.0
+REPORT_PERIOD_SECONDS = 2.0
 # Entries of one heartbeat or digest: 64 of two ends are some 3 kB packed.
-NEWS_LIMIT = 64
+MAX_CHANGED_REPORTS = 64
 # Refused ones that are told again and again, for hosts that were away.
-STANDING_LIMIT = 16
+MAX_REPEATED_REPORTS = 16
 # Clocks of hosts may differ by this; times beyond it are somebody's fault, and
 # would clear a request of ends to come.
 CLOCK_SKEW_MS = 60_000
@@ -52,17 +52,17 @@
     """Keep suspects by fingerprint, as all hosts' words add up."""
 
     def __init__(
-        self, clock: Clock, news_seconds: float = NEWS_SECONDS
+        self, clock: Clock, report_period_seconds: float = REPORT_PERIOD_SECONDS
     ) -> None:
         """Take for how long changes are told; start with none."""
         self._clock = clock
-        self._news_seconds = news_seconds
+        self._report_period_seconds = report_period_seconds
         self._suspects: dict[str, Suspect] = {}
         # Those whose weight is enough, before other explanations.
-        self._accused: set[str] = set()
-        self._forgot_at = clock.monotonic()
-        self.on_refused: Callable[[str], None] = _hear_nothing
-        self.on_ends: Callable[[str, Suspect], None] = _hear_no_ends
+        self._over_threshold: set[str] = set()
+        self._expired_at = clock.monotonic()
+        self.on_refused: Callable[[str], None] = _ignore_refusal
+        self.on_crashes: Callable[[str, Suspect], None] = _ignore_crashes
 
     def __len__(self) -> int:
         """Return how many are known."""
@@ -75,9 +75,9 @@
     def refused_seconds(self, fingerprint: str) -> float | None:
         """Return for how long a request is refused, None if it isn't."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or fingerprint not in self._accused:
+        if suspect is None or fingerprint not in self._over_threshold:
             return None
-        left = suspect.ended_at + REFUSED_SECONDS - self._clock.monotonic()
+        left = suspect.last_crash_at + REFUSAL_SECONDS - self._clock.monotonic()
         if left <= 0 or self._is_explained(fingerprint, suspect):
             return None
         return left
@@ -85,150 +85,164 @@
     def refused(self) -> dict[str, int]:
         """Return the refused ones and how many targets ended under each."""
         return {
-            name: len(self._suspects[name].ends)
-            for name in sorted(self._accused)
+            name: len(self._suspects[name].crashes)
+            for name in sorted(self._over_threshold)
             if self.refused_seconds(name) is not None
         }
 
-    def note_end(self, fingerprint: str, end: End) -> None:
+    def record_crash(self, fingerprint: str, crash: Crash) -> None:
         """Take an end that this host saw itself."""
         if fingerprint:
-            self._entry(fingerprint).is_witnessed = True
-            self._add_ends(fingerprint, [end], is_own=True)
+            self._find_or_create(fingerprint).is_observed_here = True
+            self._add_crashes(fingerprint, [crash], is_own=True)
 
-    def note_served(self, fingerprint: str) -> None:
+    def record_served(self, fingerprint: str) -> None:
         """Take that a target answered a suspect and outlived it."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             self._clear(fingerprint, suspect, self._now_ms(), is_own=True)
 
-    def take(self, words: Iterable[SuspectWord], *, is_near: bool) -> None:
+    def merge_reports(
+        self, reports: Iterable[SuspectReport], *, is_near: bool
+    ) -> None:
         """Take what another host, or the store, tells."""
-        for word in words:
-            if word.served_ms:
-                suspect = self._entry(word.fingerprint)
+        for report in reports:
+            if report.served_at_ms:
+                suspect = self._find_or_create(report.fingerprint)
                 latest_ms = self._now_ms() + CLOCK_SKEW_MS
-                served_ms = min(word.served_ms, latest_ms)
-                if served_ms > suspect.served_ms:
+                served_at_ms = min(report.served_at_ms, latest_ms)
+                if served_at_ms > suspect.served_at_ms:
                     self._clear(
-                        word.fingerprint, suspect, served_ms, is_own=not is_near
+                        report.fingerprint,
+                        suspect,
+                        served_at_ms,
+                        is_own=not is_near,
                     )
-            self._add_ends(word.fingerprint, word.ends, is_own=not is_near)
+            self._add_crashes(
+                report.fingerprint, report.crashes, is_own=not is_near
+            )
 
-    def news(self, *, is_near: bool, is_full: bool) -> list[SuspectWord]:
+    def reports_to_send(
+        self, *, is_near: bool, is_full: bool
+    ) -> list[SuspectReport]:
         """Return what is told now: what changed, and at times the refused.
 
         The own region hears near news from those that it concerns.
         """
-        limit = self._clock.monotonic() - self._news_seconds
-        told = {
+        since = self._clock.monotonic() - self._report_period_seconds
+        changed = {
             name
             for name, one in self._suspects.items()
-            if one.told_at(is_near=is_near) > limit
+            if one.report_changed_at(is_near=is_near) > since
         }
-        chosen = sorted(told, key=self._rank, reverse=True)[:NEWS_LIMIT]
+        chosen = sorted(changed, key=self._rank, reverse=True)[
+            :MAX_CHANGED_REPORTS
+        ]
         if is_full:
-            standing = sorted(self._accused - told, key=self._rank)
-            chosen.extend(standing[-STANDING_LIMIT:])
-        return [self._suspects[name].word(name) for name in chosen]
+            repeated = sorted(self._over_threshold - changed, key=self._rank)
+            chosen.extend(repeated[-MAX_REPEATED_REPORTS:])
+        return [self._suspects[name].to_report(name) for name in chosen]
 
-    def forget_at_times(self) -> None:
+    def expire_if_due(self) -> None:
         """Drop what is old, if it was not looked at for some time."""
-        if self._clock.monotonic() - self._forgot_at > FORGET_CHECK_SECONDS:
-            self._forget_old()
+        if self._clock.monotonic() - self._expired_at > EXPIRY_CHECK_SECONDS:
+            self._expire()
 
-    def _forget_old(self) -> None:
+    def _expire(self) -> None:
         now = self._clock.monotonic()
-        self._forgot_at = now
+        self._expired_at = now
         for name, suspect in list(self._suspects.items()):
-            if now - suspect.ended_at > suspect.kept_seconds:
+            if now - suspect.last_crash_at > suspect.retention_seconds:
                 self._drop(name)
-        excess = len(self._suspects) - SUSPECTS_LIMIT
+        excess = len(self._suspects) - MAX_SUSPECTS
         if excess > 0:
             for name in sorted(self._suspects, key=self._rank)[:excess]:
                 self._drop(name)
 
     def _rank(self, name: str) -> tuple[int, int, float]:
         suspect = self._suspects[name]
-        return suspect.weight, suspect.fresh_count, suspect.changed_at
+        return suspect.weight, suspect.no_output_count, suspect.changed_at
 
     def _drop(self, name: str) -> None:
         self._suspects.pop(name)
-        self._accused.discard(name)
+        self._over_threshold.discard(name)
 
-    def _entry(self, fingerprint: str) -> Suspect:
+    def _find_or_create(self, fingerprint: str) -> Suspect:
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
-            if len(self._suspects) >= 2 * SUSPECTS_LIMIT:
-                self._forget_old()
+            if len(self._suspects) >= 2 * MAX_SUSPECTS:
+                self._expire()
             suspect = Suspect(self._clock.monotonic())
             self._suspects[fingerprint] = suspect
         return suspect
 
-    def _add_ends(
-        self, fingerprint: str, ends: Iterable[End], *, is_own: bool
+    def _add_crashes(
+        self, fingerprint: str, crashes: Iterable[Crash], *, is_own: bool
     ) -> None:
         known = self._suspects.get(fingerprint)
-        new = [end for end in ends if self._is_new(known, end)]
+        new = [crash for crash in crashes if self._is_new(known, crash)]
         if not new:
             return
-        suspect = self._entry(fingerprint)
-        for end in new[:ENDS_LIMIT]:
-            suspect.ends[end.life] = end
-        suspect.ended_at = self._clock.monotonic()
-        self._note_changed(fingerprint, suspect, is_own=is_own)
+        suspect = self._find_or_create(fingerprint)
+        for crash in new[:MAX_CRASHES_PER_SUSPECT]:
+            suspect.crashes[crash.incarnation_id] = crash
+        suspect.last_crash_at = self._clock.monotonic()
+        self._record_change(fingerprint, suspect, is_own=is_own)
 
-    def _is_new(self, suspect: Suspect | None, end: End) -> bool:
-        age_ms = self._now_ms() - end.at_ms
-        if age_ms > FORGET_SECONDS * _MS:
+    def _is_new(self, suspect: Suspect | None, crash: Crash) -> bool:
+        age_ms = self._now_ms() - crash.at_ms
+        if age_ms > RETENTION_SECONDS * _MS:
             return False
         if suspect is None:
             return True
-        if end.at_ms <= suspect.served_ms:
+        if crash.at_ms <= suspect.served_at_ms:
             return False
-        known = suspect.ends.get(end.life)
+        known = suspect.crashes.get(crash.incarnation_id)
         if known is None:
-            return len(suspect.ends) < ENDS_LIMIT
+            return len(suspect.crashes) < MAX_CRASHES_PER_SUSPECT
         # Copies of one request at the same target: one had begun.
-        return (end.weight, end.is_fresh) > (known.weight, known.is_fresh)
+        return (crash.weight, crash.had_no_output) > (
+            known.weight,
+            known.had_no_output,
+        )
 
     def _clear(
         self,
         fingerprint: str,
         suspect: Suspect,
-        served_ms: int,
+        served_at_ms: int,
         *,
         is_own: bool,
     ) -> None:
-        suspect.served_ms = served_ms
-        suspect.ends = {
-            life: end
-            for life, end in suspect.ends.items()
-            if end.at_ms > served_ms
+        suspect.served_at_ms = served_at_ms
+        suspect.crashes = {
+            incarnation_id: crash
+            for incarnation_id, crash in suspect.crashes.items()
+            if crash.at_ms > served_at_ms
         }
-        self._note_changed(fingerprint, suspect, is_own=is_own)
+        self._record_change(fingerprint, suspect, is_own=is_own)
 
-    def _note_changed(
+    def _record_change(
         self, fingerprint: str, suspect: Suspect, *, is_own: bool
     ) -> None:
         now = self._clock.monotonic()
         suspect.changed_at = now
         if is_own:
-            suspect.own_changed_at = now
-        self.on_ends(fingerprint, suspect)
-        was_accused = fingerprint in self._accused
-        if suspect.weight < REFUSED_WEIGHT:
-            self._accused.discard(fingerprint)
+            suspect.region_changed_at = now
+        self.on_crashes(fingerprint, suspect)
+        was_over_threshold = fingerprint in self._over_threshold
+        if suspect.weight < REFUSAL_WEIGHT:
+            self._over_threshold.discard(fingerprint)
             return
-        self._accused.add(fingerprint)
+        self._over_threshold.add(fingerprint)
         is_refused = self.refused_seconds(fingerprint) is not None
-        if is_refused and not was_accused:
+        if is_refused and not was_over_threshold:
             logs.warning(
                 'request_quarantined',
                 fingerprint=fingerprint,
-                targets=','.join(suspect.ends),
+                targets=','.join(suspect.crashes),
                 weight=suspect.weight,
-                fresh=suspect.fresh_count,
+                fresh=suspect.no_output_count,
             )
             self.on_refused(fingerprint)
 
@@ -238,26 +252,26 @@
         # ends targets may be at three ends as well. The likelier one of two
         # is that with which the targets had just begun more often.
         explained = {
-            life
-            for name in self._accused
+            incarnation_id
+            for name in self._over_threshold
             if name != fingerprint
-            and self._suspects[name].fresh_count > suspect.fresh_count
-            for life in self._suspects[name].ends
+            and self._suspects[name].no_output_count > suspect.no_output_count
+            for incarnation_id in self._suspects[name].crashes
         }
         weight = sum(
-            end.weight
-            for life, end in suspect.ends.items()
-            if life not in explained
+            crash.weight
+            for incarnation_id, crash in suspect.crashes.items()
+            if incarnation_id not in explained
         )
-        return weight < REFUSED_WEIGHT
+        return weight < REFUSAL_WEIGHT
 
     def _now_ms(self) -> int:
         return round(self._clock.now().timestamp() * _MS)
 
 
-def _hear_no_ends(_fingerprint: str, _suspect: Suspect) -> None:
+def _ignore_crashes(_fingerprint: str, _suspect: Suspect) -> None:
     """Hear of ends and do nothing."""
 
 
-def _hear_nothing(_: str) -> None:
+def _ignore_refusal(_: str) -> None:
     """Hear of a refusal and do nothing."""
--- /dev/null
+++ b/jacinthfold/quota/coordinator.py
@@ -0,0 +1,85 @@
+"""Take in what other hosts ask and answer about caps."""
+
+from functools import partial
+
+from jacinthfold.catalogue.metadata import MetadataStore
+from jacinthfold.clock import Clock
+from jacinthfold.fleet.table import HostTable
+from jacinthfold.quota.bounds import Window
+from jacinthfold.quota.issuers import Issuers
+from jacinthfold.quota.messages import PermitResponse, ShareRequest, decode
+from jacinthfold.quota.outbox import Endpoint, Outbox
+from jacinthfold.quota.permits import PermitClient
+from jacinthfold.quota.pool import CapRejection
+from jacinthfold.quota.pools import Pools
+
+_MS = 1000
+
+
+class QuotaCoordinator:
+    """Hold the parts that keep caps, and tell messages apart."""
+
+    def __init__(
+        self,
+        hosts: HostTable,
+        store: MetadataStore,
+        window: Window,
+        clock: Clock,
+    ) -> None:
+        """Put the parts together."""
+        self._hosts = hosts
+        self.outbox = Outbox(hosts.own)
+        self.pools = Pools(window, clock)
+        self.issuers = Issuers(hosts, store, self.pools, clock)
+        self.permits = PermitClient(hosts, self.pools, self.outbox, clock)
+        self.pools.request_share = self._request_share
+
+    def handle_datagram(self, content: bytes, sender: Endpoint) -> None:
+        """Take a datagram; raise ValueError."""
+        datagram = decode(content)
+        for permit_request in datagram.permit_asks:
+            respond = partial(self._respond, sender, permit_request.number)
+            self.pools.acquire(
+                permit_request.organisation, permit_request.cost, respond
+            )
+        for permit_response in datagram.permit_answers:
+            self.permits.handle_response(permit_response)
+        for share_request in datagram.share_asks:
+            share_response = self.issuers.grant_share(
+                datagram.sender, datagram.life, share_request
+            )
+            if share_response is not None:
+                self.outbox.put(sender, share_response)
+        for share_response in datagram.share_answers:
+            self.pools.handle_response(share_response)
+        for refund in datagram.returned:
+            self.pools.refund(refund.organisation, refund.cost)
+
+    def _respond(
+        self, sender: Endpoint, number: int, rejection: CapRejection | None
+    ) -> None:
+        response = PermitResponse(number, None)
+        if rejection is not None:
+            response.retry_after_ms = (
+                int(rejection.retry_after_seconds * _MS) + 1
+            )
+            response.is_over_cap = rejection.is_over_cap
+        self.outbox.put(sender, response)
+
+    def _request_share(self, share_request: ShareRequest) -> bool:
+        name = self.issuers.issuer_of(
+            share_request.organisation, share_request.half
+        )
+        own = self._hosts.own
+        if name == own.name:
+            share_response = self.issuers.grant_share(
+                own.name, own.incarnation, share_request
+            )
+            if share_response is not None:
+                self.pools.handle_response(share_response)
+            return share_response is not None
+        endpoint = self._hosts.place_of(name)
+        if endpoint is None:
+            return False
+        self.outbox.put(endpoint, share_request)
+        return True
--- a/jacinthfold/quota/issuer.py
+++ b/jacinthfold/quota/issuer.py
@@ -1,40 +1,46 @@
 """Lend shares of one organisation's cap so that they never exceed it."""
 
-from jacinthfold.quota.bounds import EXTRA_MARGIN_SECONDS, SHARE_SECONDS
+from jacinthfold.quota.bounds import (
+    RECOVERY_MARGIN_SECONDS,
+    SHARE_LEASE_SECONDS,
+)
 
 # Kept for a pool that begins while the others hold all: a tenth of a cap.
-NEWCOMER_SHARE = 0.1
-_WHOLE = 1.0
+NEW_POOL_SHARE = 0.1
+_FULL_SHARE = 1.0
 
 
 class _Holder:
     """Hold what one pool may still be spending, and what it asked for."""
 
-    __slots__ = ('_lent', 'life', 'number', 'wanted', 'wanted_until')
+    __slots__ = ('_leases', 'incarnation', 'number', 'wanted', 'wanted_until')
 
-    def __init__(self, life: int) -> None:
-        self.life = life
+    def __init__(self, incarnation: int) -> None:
+        self.incarnation = incarnation
         self.number = 0
         self.wanted = 0.0
         self.wanted_until = 0.0
-        self._lent: list[tuple[float, float]] = []
+        self._leases: list[tuple[float, float]] = []
 
     def outstanding(self, now: float) -> float:
-        live = (share for share, ends in self._lent if now < ends)
+        live = (share for share, expires_at in self._leases if now < expires_at)
         return max(live, default=0.0)
 
-    def note_held(self, share: float, now: float) -> None:
+    def record_held(self, share: float, now: float) -> None:
         """Take what is held, by the holder's word at its question."""
         # Every earlier answer is void for it by now. Until when it may spend
         # what it holds is not later than the latest end that was lent.
-        ends = max((end for _, end in self._lent), default=now + SHARE_SECONDS)
-        self._lent = [(share, ends)] if share else []
+        expires_at = max(
+            (expiry for _, expiry in self._leases),
+            default=now + SHARE_LEASE_SECONDS,
+        )
+        self._leases = [(share, expires_at)] if share else []
 
-    def lend(self, share: float, ends_at: float) -> None:
-        self._lent.append((share, ends_at))
+    def add_lease(self, share: float, expires_at: float) -> None:
+        self._leases.append((share, expires_at))
 
 
-class Loan:
+class ShareLease:
     """Hold a share and for how long it is lent, from the question on."""
 
     __slots__ = ('seconds', 'share')
@@ -48,72 +54,82 @@
 class Issuer:
     """Lend one half of a cap."""
 
-    __slots__ = ('_extra_share', '_holders', '_known_from', '_lent_extra')
+    __slots__ = (
+        '_recovery_share',
+        '_holders',
+        '_recovered_at',
+        '_lent_in_recovery',
+    )
 
-    def __init__(self, now: float, extra_share: float) -> None:
+    def __init__(self, now: float, recovery_share: float) -> None:
         """Begin while earlier shares may still be held by anyone."""
         self._holders: dict[str, _Holder] = {}
         # Every share of an issuer before has ended by then.
-        self._known_from = now + SHARE_SECONDS
-        self._extra_share = extra_share
-        self._lent_extra = 0.0
+        self._recovered_at = now + SHARE_LEASE_SECONDS
+        self._recovery_share = recovery_share
+        self._lent_in_recovery = 0.0
 
-    def lent(self, now: float) -> float:
+    def total_outstanding(self, now: float) -> float:
         """Return what may be held by all together, as far as is known."""
         return sum(one.outstanding(now) for one in self._holders.values())
 
-    def ask(
+    def grant(
         self,
         name: str,
-        life: int,
+        incarnation: int,
         number: int,
         *,
         held: float,
         wanted: float,
         now: float,
-    ) -> Loan | None:
+    ) -> ShareLease | None:
         """Return what is lent, None for a question that came late."""
-        holder = self._holder(name, life)
+        holder = self._find_holder(name, incarnation)
         if holder is None or number <= holder.number:
             return None
         holder.number = number
-        holder.note_held(held, now)
+        holder.record_held(held, now)
         holder.wanted = wanted
-        holder.wanted_until = now + SHARE_SECONDS
-        share = min(self._target(holder, now), self._most(holder, held, now))
-        seconds = self._seconds(now)
-        holder.lend(share, now + seconds)
-        self._drop_old(now)
-        return Loan(share, seconds)
-
-    def _holder(self, name: str, life: int) -> _Holder | None:
+        holder.wanted_until = now + SHARE_LEASE_SECONDS
+        share = min(
+            self._fair_share(holder, now),
+            self._available_share(holder, held, now),
+        )
+        seconds = self._lease_seconds(now)
+        holder.add_lease(share, now + seconds)
+        self._drop_expired(now)
+        return ShareLease(share, seconds)
+
+    def _find_holder(self, name: str, incarnation: int) -> _Holder | None:
         known = self._holders.get(name)
-        if known is None or known.life < life:
+        if known is None or known.incarnation < incarnation:
             # The process before has ended, and with it what it held.
-            known = _Holder(life)
+            known = _Holder(incarnation)
             self._holders[name] = known
-        return known if known.life == life else None
+        return known if known.incarnation == incarnation else None
 
-    def _most(self, holder: _Holder, held: float, now: float) -> float:
+    def _available_share(
+        self, holder: _Holder, held: float, now: float
+    ) -> float:
         """Return what can be lent without lending anything twice."""
-        if now < self._known_from:
+        if now < self._recovered_at:
             # Others may hold what they haven't told yet: beyond what the
             # holder has already, only what buckets leave room for.
-            extra = max(0.0, self._extra_share - self._lent_extra)
-            given = min(extra, max(0.0, holder.wanted - held))
-            self._lent_extra += given
-            return held + given
-        others = self.lent(now) - holder.outstanding(now)
-        return max(0.0, _WHOLE - others)
-
-    def _seconds(self, now: float) -> float:
+            available = max(0.0, self._recovery_share - self._lent_in_recovery)
+            granted = min(available, max(0.0, holder.wanted - held))
+            self._lent_in_recovery += granted
+            return held + granted
+        others = self.total_outstanding(now) - holder.outstanding(now)
+        return max(0.0, _FULL_SHARE - others)
+
+    def _lease_seconds(self, now: float) -> float:
         # What is lent before all holders are known must end soon after.
-        if now >= self._known_from:
-            return SHARE_SECONDS
-        left = self._known_from - now + EXTRA_MARGIN_SECONDS
-        return min(SHARE_SECONDS, left)
+        if now >= self._recovered_at:
+            return SHARE_LEASE_SECONDS
+        left = self._recovered_at - now + RECOVERY_MARGIN_SECONDS
+        return min(SHARE_LEASE_SECONDS, left)
 
-    def _target(self, holder: _Holder, now: float) -> float:
+    def _fair_share(self, holder: _Holder, now: float) -> float:
         """Return the part that is fair by what all ask for."""
         wants = [
             one.wanted
@@ -123,9 +139,9 @@
         total = sum(wants)
         if total <= 0:
             return 0.0
-        return (_WHOLE - NEWCOMER_SHARE) * holder.wanted / total
+        return (_FULL_SHARE - NEW_POOL_SHARE) * holder.wanted / total
 
-    def _drop_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for name, holder in list(self._holders.items()):
             if now >= holder.wanted_until and not holder.outstanding(now):
                 self._holders.pop(name)
--- a/jacinthfold/quota/issuers.py
+++ b/jacinthfold/quota/issuers.py
@@ -24,13 +24,13 @@
 from jacinthfold.hashing import rank
 from jacinthfold.quota.bounds import HALVES
 from jacinthfold.quota.issuer import Issuer
-from jacinthfold.quota.messages import ShareAnswer, ShareAsk
+from jacinthfold.quota.messages import ShareRequest, ShareResponse
 from jacinthfold.quota.pools import Pools
 
 # Parts that organisations are dealt into, so that no host lends all.
-PARTS = 16
+SHARD_COUNT = 16
 # The halves of a cap lie so many parts from each other.
-_PARTS_BETWEEN = PARTS // HALVES
+_HALF_OFFSET = SHARD_COUNT // HALVES
 TICK_SECONDS = 0.2
 # Of an issuer that is gone nobody lends for as long as this.
 LEASE_SECONDS = 3.0
@@ -38,13 +38,13 @@
 # Left of the lease for calls that take their time.
 LEASE_MARGIN_SECONDS = 0.2
 # The next host in order waits this much longer before it takes a free part.
-ORDER_SECONDS = 0.4
+CLAIM_DELAY_SECONDS = 0.4
 
 
-def part_of(organisation: str, half: int) -> str:
+def shard_of(organisation: str, half: int) -> str:
     """Return the part of half an organisation's cap, on every host the same."""
     first = xxhash.xxh64_intdigest(organisation.encode())
-    return f'{(first + half * _PARTS_BETWEEN) % PARTS:02}'
+    return f'{(first + half * _HALF_OFFSET) % SHARD_COUNT:02}'
 
 
 class IssuerDocument(msgspec.Struct):
@@ -57,15 +57,15 @@
     lease: int
 
 
-class _Part:
+class _Shard:
     """Hold who issues a part by the store's word."""
 
-    __slots__ = ('free_since', 'issuer', 'life', 'revision')
+    __slots__ = ('free_since', 'issuer', 'incarnation', 'revision')
 
     def __init__(self, now: float) -> None:
         self.free_since: float | None = now
         self.issuer = ''
-        self.life = 0
+        self.incarnation = 0
         self.revision = 0
 
 
@@ -86,65 +86,73 @@
         self._pools = pools
         self._clock = clock
         now = clock.boottime()
-        self._parts = {f'{number:02}': _Part(now) for number in range(PARTS)}
+        self._shards = {
+            f'{number:02}': _Shard(now) for number in range(SHARD_COUNT)
+        }
         # By part, while this host issues it: by organisation.
-        self._lent: dict[str, dict[str, Issuer]] = {}
-        self._began_at: dict[str, float] = {}
+        self._issuers: dict[str, dict[str, Issuer]] = {}
+        self._started_at: dict[str, float] = {}
         self._lease = 0
         self._lease_until = float('-inf')
         self._renewed_at = float('-inf')
         self._is_leaving = False
 
-    def take_record(self, name: str, record: Record) -> None:
+    def apply_record(self, name: str, record: Record) -> None:
         """Take who issues a part, by the store's word."""
-        part = self._parts.get(name)
-        if part is None:
+        shard = self._shards.get(name)
+        if shard is None:
             return
         now = self._clock.boottime()
-        found = _read(record)
-        part.revision = record.revision
-        part.issuer = found.host if found else ''
-        part.life = found.life if found else 0
-        part.free_since = None if found else now
+        found = _decode_record(record)
+        shard.revision = record.revision
+        shard.issuer = found.host if found else ''
+        shard.incarnation = found.life if found else 0
+        shard.free_since = None if found else now
         if not self._is_own(found):
-            self._lent.pop(name, None)
-        elif name not in self._lent:
+            self._issuers.pop(name, None)
+        elif name not in self._issuers:
             # The answer to the claim was lost, the claim was not.
-            self._begin(name, now)
+            self._start_issuing(name, now)
 
     def issuer_of(self, organisation: str, half: int) -> str:
         """Return the name of the host that issues, none if nobody does."""
-        return self._parts[part_of(organisation, half)].issuer
+        return self._shards[shard_of(organisation, half)].issuer
 
-    def answer(self, name: str, life: int, ask: ShareAsk) -> ShareAnswer | None:
+    def grant_share(
+        self, name: str, incarnation: int, request: ShareRequest
+    ) -> ShareResponse | None:
         """Return what is lent, None where this host may not lend."""
         now = self._clock.boottime()
-        part = part_of(ask.organisation, ask.half)
-        lent = self._lent.get(part)
-        pace = self._pools.pace_of(ask.organisation)
-        if lent is None or pace is None or now >= self._lease_until:
+        shard = shard_of(request.organisation, request.half)
+        issuers = self._issuers.get(shard)
+        cap_rate = self._pools.cap_rate_of(request.organisation)
+        if issuers is None or cap_rate is None or now >= self._lease_until:
             return None
-        issuer = lent.get(ask.organisation)
+        issuer = issuers.get(request.organisation)
         if issuer is None:
-            issuer = Issuer(self._began_at[part], pace.extra_share)
-            lent[ask.organisation] = issuer
-        loan = issuer.ask(
+            issuer = Issuer(self._started_at[shard], cap_rate.recovery_share)
+            issuers[request.organisation] = issuer
+        lease = issuer.grant(
             name,
-            life,
-            ask.number,
-            held=ask.held,
-            wanted=ask.wanted,
+            incarnation,
+            request.number,
+            held=request.held,
+            wanted=request.wanted,
             now=now,
         )
-        if loan is None:
+        if lease is None:
             return None
-        return ShareAnswer(
-            ask.organisation, ask.half, ask.number, loan.share, loan.seconds
+        return ShareResponse(
+            request.organisation,
+            request.half,
+            request.number,
+            lease.share,
+            lease.seconds,
         )
 
-    def parts(self) -> list[str]:
+    def issued_shards(self) -> list[str]:
         """Return the parts that this host issues."""
-        return sorted(self._lent)
+        return sorted(self._issuers)
 
     async def run(self) -> None:
         """Keep what is issued here, and take what nobody issues."""
@@ -153,7 +161,9 @@
             try:
                 await self._step()
             except LeaseLostError:
-                logs.warning('issuing_lost', parts=','.join(self.parts()))
+                logs.warning(
+                    'issuing_lost', parts=','.join(self.issued_shards())
+                )
                 self._drop_lease()
             except MetadataConflictError as error:
                 logs.event('part_taken', reason=str(error))
@@ -175,63 +185,63 @@
             logs.warning('issuing_not_ended', reason=str(error))
 
     async def _step(self) -> None:
-        if not self._pools.are_needed:
+        if not self._pools.has_caps:
             return
         now = self._clock.boottime()
         if self._lease and now - self._renewed_at >= RENEW_SECONDS:
             await self._store.renew_lease(self._lease)
-            self._note_renewed(now)
-        takeable = [name for name in self._parts if self._may_take(name)]
-        if takeable:
+            self._record_renewal(now)
+        claimable = [name for name in self._shards if self._may_claim(name)]
+        if claimable:
             # One at a time: the next look comes soon, and others take some.
-            await self._take(takeable[0])
+            await self._claim(claimable[0])
 
-    def _may_take(self, name: str) -> bool:
-        part = self._parts[name]
+    def _may_claim(self, name: str) -> bool:
+        shard = self._shards[name]
         own = self._own
-        if part.issuer == own.name:
+        if shard.issuer == own.name:
             # The process before this one on the same host is gone for sure.
-            return part.life < own.incarnation
-        if part.free_since is None:
+            return shard.incarnation < own.incarnation
+        if shard.free_since is None:
             return False
         order = rank(f'part {name}', {own.name, *self._hosts.registered()})
-        waited = self._clock.boottime() - part.free_since
-        return waited >= order.index(own.name) * ORDER_SECONDS
+        waited = self._clock.boottime() - shard.free_since
+        return waited >= order.index(own.name) * CLAIM_DELAY_SECONDS
 
-    async def _take(self, name: str) -> None:
-        part = self._parts[name]
+    async def _claim(self, name: str) -> None:
+        shard = self._shards[name]
         now = self._clock.boottime()
         if not self._lease:
             self._lease = await self._store.grant_lease(LEASE_SECONDS)
-            self._note_renewed(now)
+            self._record_renewal(now)
         document = IssuerDocument(
             self._own.name, self._own.incarnation, self._lease
         )
-        after = part.revision if part.issuer else 0
+        after = shard.revision if shard.issuer else 0
         # Whoever wins, the record says so soon; asked again only after that.
-        part.free_since = now + LEASE_SECONDS
+        shard.free_since = now + LEASE_SECONDS
         revision = await self._store.claim(
             name, msgspec.json.encode(document), after=after, lease=self._lease
         )
-        part.issuer = self._own.name
-        part.life = self._own.incarnation
-        part.revision = revision
-        part.free_since = None
-        self._begin(name, self._clock.boottime())
-
-    def _begin(self, name: str, now: float) -> None:
-        self._lent[name] = {}
-        self._began_at[name] = now
+        shard.issuer = self._own.name
+        shard.incarnation = self._own.incarnation
+        shard.revision = revision
+        shard.free_since = None
+        self._start_issuing(name, self._clock.boottime())
+
+    def _start_issuing(self, name: str, now: float) -> None:
+        self._issuers[name] = {}
+        self._started_at[name] = now
         logs.event('part_issued', part=name)
 
-    def _note_renewed(self, asked_at: float) -> None:
-        self._renewed_at = asked_at
-        self._lease_until = asked_at + LEASE_SECONDS - LEASE_MARGIN_SECONDS
+    def _record_renewal(self, sent_at: float) -> None:
+        self._renewed_at = sent_at
+        self._lease_until = sent_at + LEASE_SECONDS - LEASE_MARGIN_SECONDS
 
     def _drop_lease(self) -> None:
         self._lease = 0
         self._lease_until = float('-inf')
-        self._lent.clear()
+        self._issuers.clear()
 
     def _is_own(self, found: IssuerDocument | None) -> bool:
         if found is None or not self._lease:
@@ -243,7 +253,7 @@
 _decoder = msgspec.json.Decoder(IssuerDocument)
 
 
-def _read(record: Record) -> IssuerDocument | None:
+def _decode_record(record: Record) -> IssuerDocument | None:
     if record.content is None:
         return None
     try:
--- a/jacinthfold/quota/messages.py
+++ b/jacinthfold/quota/messages.py
@@ -5,7 +5,7 @@
 QUOTA_MARK = b'\x03'
 
 
-class PermitAsk(msgspec.Struct, array_like=True):
+class PermitRequest(msgspec.Struct, array_like=True):
     """Ask a pool to let a request through."""
 
     number: int
@@ -13,16 +13,16 @@
     cost: int
 
 
-class PermitAnswer(msgspec.Struct, array_like=True):
+class PermitResponse(msgspec.Struct, array_like=True):
     """Answer such a question: None to run, else milliseconds to a return."""
 
     number: int
-    after_ms: int | None
+    retry_after_ms: int | None
     # Whether the cap is spent, or the pool doesn't know what it may spend.
-    is_over: bool = False
+    is_over_cap: bool = False
 
 
-class ShareAsk(msgspec.Struct, array_like=True):
+class ShareRequest(msgspec.Struct, array_like=True):
     """Ask the issuer for a share; say what is held until its answer."""
 
     organisation: str
@@ -32,7 +32,7 @@
     wanted: float
 
 
-class ShareAnswer(msgspec.Struct, array_like=True):
+class ShareResponse(msgspec.Struct, array_like=True):
     """Lend a share in answer to a question."""
 
     organisation: str
@@ -43,14 +43,16 @@
     seconds: float
 
 
-class Returned(msgspec.Struct, array_like=True):
+class PermitRefund(msgspec.Struct, array_like=True):
     """Give a pool back what a request that did not run was granted."""
 
     organisation: str
     cost: int
 
 
-Message = PermitAsk | PermitAnswer | ShareAsk | ShareAnswer | Returned
+Message = (
+    PermitRequest | PermitResponse | ShareRequest | ShareResponse | PermitRefund
+)
 
 
 class QuotaDatagram(msgspec.Struct):
@@ -59,21 +61,21 @@
     sender: str
     # The sender's incarnation.
     life: int
-    permit_asks: list[PermitAsk] = []
-    permit_answers: list[PermitAnswer] = []
-    share_asks: list[ShareAsk] = []
-    share_answers: list[ShareAnswer] = []
-    returned: list[Returned] = []
+    permit_asks: list[PermitRequest] = []
+    permit_answers: list[PermitResponse] = []
+    share_asks: list[ShareRequest] = []
+    share_answers: list[ShareResponse] = []
+    returned: list[PermitRefund] = []
 
     def add(self, message: Message) -> None:
         """Add a message of any kind."""
-        if isinstance(message, PermitAsk):
+        if isinstance(message, PermitRequest):
             self.permit_asks.append(message)
-        elif isinstance(message, PermitAnswer):
+        elif isinstance(message, PermitResponse):
             self.permit_answers.append(message)
-        elif isinstance(message, ShareAsk):
+        elif isinstance(message, ShareRequest):
             self.share_asks.append(message)
-        elif isinstance(message, ShareAnswer):
+        elif isinstance(message, ShareResponse):
             self.share_answers.append(message)
         else:
             self.returned.append(message)
--- a/jacinthfold/quota/share.py
+++ b/jacinthfold/quota/share.py
@@ -8,44 +8,50 @@
     later question: so only the answer to the latest question changes the share.
     """
 
-    __slots__ = ('_ask_number', '_asked_at', '_ends_at', '_held', 'answered_at')
+    __slots__ = (
+        '_request_number',
+        '_requested_at',
+        '_expires_at',
+        '_held',
+        'responded_at',
+    )
 
     def __init__(self, first_number: int = 0) -> None:
         """Start with nothing; questions are numbered from a number on."""
         self._held = 0.0
-        self._ends_at = float('-inf')
-        self._ask_number = first_number
-        self._asked_at = float('-inf')
-        self.answered_at = float('-inf')
+        self._expires_at = float('-inf')
+        self._request_number = first_number
+        self._requested_at = float('-inf')
+        self.responded_at = float('-inf')
 
     def held(self, now: float) -> float:
         """Return the share that may be spent now."""
-        return self._held if now < self._ends_at else 0.0
+        return self._held if now < self._expires_at else 0.0
 
     @property
-    def ends_at(self) -> float:
+    def expires_at(self) -> float:
         """Return when the share ends."""
-        return self._ends_at
+        return self._expires_at
 
     @property
-    def asked_at(self) -> float:
+    def requested_at(self) -> float:
         """Return when the latest question was sent."""
-        return self._asked_at
+        return self._requested_at
 
-    def ask(self, now: float) -> int:
+    def start_request(self, now: float) -> int:
         """Begin a question; return its number."""
-        self._ask_number += 1
-        self._asked_at = now
-        return self._ask_number
+        self._request_number += 1
+        self._requested_at = now
+        return self._request_number
 
-    def take(
+    def apply_response(
         self, number: int, share: float, seconds: float, now: float
     ) -> bool:
         """Take an answer; tell whether it changed what is held."""
-        if number != self._ask_number or now < self._asked_at:
+        if number != self._request_number or now < self._requested_at:
             return False
         # From the question on: the issuer counts from when it came.
         self._held = share
-        self._ends_at = self._asked_at + seconds
-        self.answered_at = now
+        self._expires_at = self._requested_at + seconds
+        self.responded_at = now
         return True
--- a/jacinthfold/quota/bucket.py
+++ b/jacinthfold/quota/token_bucket.py
@@ -1,47 +1,47 @@
 """Fill and empty one pool's tokens."""
 
 
-class Bucket:
+class TokenBucket:
     """Hold tokens that a share of a cap fills."""
 
-    __slots__ = ('burst', 'filled_at', 'per_second', 'tokens')
+    __slots__ = ('burst', 'refilled_at', 'per_second', 'tokens')
 
     def __init__(self, now: float) -> None:
         """Start empty: what was spent before is not known."""
         self.tokens = 0.0
         self.per_second = 0.0
         self.burst = 0.0
-        self.filled_at = now
+        self.refilled_at = now
 
     def set_rate(self, per_second: float, burst: float, now: float) -> None:
         """Take a new rate and burst from now on."""
-        self.fill(now)
+        self.refill(now)
         self.per_second = per_second
         self.burst = burst
         self.tokens = min(self.tokens, burst)
 
-    def fill(self, now: float) -> None:
+    def refill(self, now: float) -> None:
         """Add what came since the last time."""
-        earned = max(0.0, now - self.filled_at) * self.per_second
+        earned = max(0.0, now - self.refilled_at) * self.per_second
         self.tokens = min(self.burst, self.tokens + earned)
-        self.filled_at = now
+        self.refilled_at = now
 
-    def take(self, cost: float, now: float) -> bool:
+    def try_consume(self, cost: float, now: float) -> bool:
         """Take tokens if they are there."""
-        self.fill(now)
+        self.refill(now)
         if self.tokens < cost:
             return False
         self.tokens -= cost
         return True
 
-    def give_back(self, cost: float, now: float) -> None:
+    def refund(self, cost: float, now: float) -> None:
         """Take back tokens whose request did not run."""
-        self.fill(now)
+        self.refill(now)
         self.tokens = min(self.burst, self.tokens + cost)
 
     def seconds_until(self, cost: float, now: float) -> float:
         """Return when so many tokens are there, if nobody takes others."""
-        self.fill(now)
+        self.refill(now)
         missing = cost - self.tokens
         if missing <= 0:
             return 0.0
--- a/jacinthfold/serve/guard.py
+++ b/jacinthfold/serve/guard.py
@@ -10,7 +10,7 @@
 
 from jacinthfold import logs
 from jacinthfold.clock import Clock
-from jacinthfold.quarantine.ends import BEGUN, End, SuspectWord
+from jacinthfold.quarantine.crashes import RUNNING_WEIGHT, Crash, SuspectReport
 from jacinthfold.quarantine.fingerprints import KEY_BYTES, Fingerprints
 from jacinthfold.quarantine.suspects import Suspects
 from jacinthfold.serve.deployment import TargetState
@@ -30,7 +30,7 @@
 LEAVING_STATES = frozenset((ReportState.LEAVING, ReportState.STOPPED))
 _MS = 1000
 
-_words_decoder = msgspec.msgpack.Decoder(list[SuspectWord])
+_words_decoder = msgspec.msgpack.Decoder(list[SuspectReport])
 
 
 class Guard:
@@ -42,7 +42,7 @@
         self._guard = threading.Lock()
         self._suspects = Suspects(clock, NEWS_SECONDS)
         self._fingerprints = Fingerprints()
-        self._fingerprints.use_key(
+        self._fingerprints.set_key(
             hashlib.blake2b(secret.encode(), digest_size=KEY_BYTES).digest()
         )
         # Called when there is something to tell the other hosts soon.
@@ -67,7 +67,7 @@
         """Take that a target answered a request and outlived it."""
         with self._guard:
             if self._suspects:
-                self._suspects.note_served(self._fingerprint(work))
+                self._suspects.record_served(self._fingerprint(work))
 
     def note_broken(
         self, work: Work, view: TargetView, *, has_events: bool
@@ -86,8 +86,8 @@
     def news(self) -> bytes:
         """Return what other hosts are to hear."""
         with self._guard:
-            words = self._suspects.news(is_near=False, is_full=True)
-            self._suspects.forget_at_times()
+            words = self._suspects.reports_to_send(is_near=False, is_full=True)
+            self._suspects.expire_if_due()
         return msgspec.msgpack.encode(words) if words else b''
 
     def take(self, content: bytes) -> None:
@@ -120,23 +120,24 @@
         at_ms = round(self._clock.now().timestamp() * _MS)
         # Admission sends no more than a target has places for: whatever is
         # there has begun.
-        end = End(f'{name}@{at_ms}', BEGUN, not has_events, at_ms)
+        end = Crash(f'{name}@{at_ms}', RUNNING_WEIGHT, not has_events, at_ms)
         with self._guard:
             if self._is_new(fingerprint, end):
-                self._suspects.note_end(fingerprint, end)
+                self._suspects.record_crash(fingerprint, end)
         self.on_end()
 
-    def _take_one(self, word: SuspectWord) -> None:
-        self._suspects.take(
-            [SuspectWord(word.fingerprint, word.served_ms, [])], is_near=False
+    def _take_one(self, word: SuspectReport) -> None:
+        self._suspects.merge_reports(
+            [SuspectReport(word.fingerprint, word.served_at_ms, [])],
+            is_near=False,
         )
-        for end in word.ends:
+        for end in word.crashes:
             if self._is_new(word.fingerprint, end):
-                self._suspects.take(
-                    [SuspectWord(word.fingerprint, 0, [end])], is_near=False
+                self._suspects.merge_reports(
+                    [SuspectReport(word.fingerprint, 0, [end])], is_near=False
                 )
 
-    def _is_new(self, fingerprint: str, end: End) -> bool:
+    def _is_new(self, fingerprint: str, end: Crash) -> bool:
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return True
@@ -144,7 +145,7 @@
         return not any(
             _name_of(known) == name
             and abs(known.at_ms - end.at_ms) < SAME_END_MS
-            for known in suspect.ends.values()
+            for known in suspect.crashes.values()
         )
 
     def _fingerprint(self, work: Work) -> str:
@@ -156,8 +157,8 @@
         )
 
 
-def _name_of(end: End) -> str:
-    return end.life.rpartition('@')[0]
+def _name_of(end: Crash) -> str:
+    return end.incarnation_id.rpartition('@')[0]
 
 
 def _is_leaving(view: TargetView) -> bool:
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -289,10 +289,10 @@
     table = PlatformReader().read_routes(
         document(tenant('north', KEY, **fields), tenant('south', unit=''))
     )
-    found = table.organisations.holding(digest_of(KEY.encode()))
+    found = table.organisations.find_by_key(digest_of(KEY.encode()))
     assert (found.cap.per_second, found.cap.burst) == (36000, 5000)
     assert found.cap.cost(10, 2) == 12
-    assert table.organisations.named('south').cap is None
+    assert table.organisations.find_by_name('south').cap is None
 
 
 def test_digest_is_of_the_one_bearer_key():
--- a/tests/gateway/test_permit_order.py
+++ b/tests/gateway/test_permit_order.py
@@ -33,7 +33,7 @@
     def is_valid(self, permit):
         return permit is not None
 
-    def give_back(self, permit):
+    def refund(self, permit):
         if permit is not None:
             self.returned.append(permit)
 
@@ -117,7 +117,9 @@
         requests = [scene.request(**fields) for _ in answers]
         for request in requests:
             request.facts.key_digest = digest_of(KEY.encode())
-            request.organisation = made.routes.organisations.named('north')
+            request.organisation = made.routes.organisations.find_by_name(
+                'north'
+            )
         await asyncio.gather(
             *(
                 serving.serve(request, answer)
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -8,16 +8,16 @@
 
 from jacinthfold.organisations.model import Cap
 from jacinthfold.quota.bounds import (
-    EXTRA_MARGIN_SECONDS,
     HALVES,
-    PERMIT_SECONDS,
-    SHARE_SECONDS,
-    Pace,
+    PERMIT_LIFETIME_SECONDS,
+    RECOVERY_MARGIN_SECONDS,
+    SHARE_LEASE_SECONDS,
+    CapRate,
     Window,
 )
 from jacinthfold.quota.issuer import Issuer
-from jacinthfold.quota.messages import ShareAnswer
-from jacinthfold.quota.pool import WAIT_SECONDS, OrganisationPool
+from jacinthfold.quota.messages import ShareResponse
+from jacinthfold.quota.pool import MAX_WAIT_SECONDS, OrganisationPool
 
 WINDOW = Window(8, 0.1, 140000)
 # The smallest cap of the sheet and one of the larger ones, in tokens.
@@ -29,7 +29,7 @@
         per_second,
         per_second if burst is None else burst,
         counts_tokens=True,
-        plain_tokens=200,
+        default_tokens=200,
     )
 
 
@@ -39,30 +39,30 @@
     return owed * (1 + window.excess) + window.slack
 
 
-def answer(half, number, share, seconds=SHARE_SECONDS):
-    return ShareAnswer('o', half, number, share, seconds)
+def answer(half, number, share, seconds=SHARE_LEASE_SECONDS):
+    return ShareResponse('o', half, number, share, seconds)
 
 
 class Holder:
     """Hold one pool of a simulated region; its process may start again."""
 
-    def __init__(self, name, pace, now):
+    def __init__(self, name, cap_rate, now):
         self.name = name
-        self.pace = pace
+        self.cap_rate = cap_rate
         self.life = 0
         self.granted = []
         self.start(now)
 
     def start(self, now):
         self.life += 1
-        self.pool = OrganisationPool(self.pace, now)
+        self.pool = OrganisationPool(self.cap_rate, now)
 
     def want(self, cost, now):
         def decide(after):
             if after is None:
                 self.granted.append((now, cost))
 
-        self.pool.ask(cost, now, decide)
+        self.pool.acquire(cost, now, decide)
 
 
 class World:
@@ -71,13 +71,14 @@
     def __init__(self, seed, per_second=36000, regions=3):
         self.random = random.Random(seed)
         self.now = 100.0
-        self.pace = Pace(cap(per_second), WINDOW)
+        self.cap_rate = CapRate(cap(per_second), WINDOW)
         self.holders = [
-            Holder(f'pool-{number}', self.pace, self.now)
+            Holder(f'pool-{number}', self.cap_rate, self.now)
             for number in range(regions)
         ]
         self.issuers = [
-            Issuer(self.now, self.pace.extra_share) for _ in range(HALVES)
+            Issuer(self.now, self.cap_rate.recovery_share)
+            for _ in range(HALVES)
         ]
         self.mail = []
         self.most_held = 0.0
@@ -100,7 +101,7 @@
         pool = holder.pool
         share = pool.shares[half]
         held = share.held(self.now)
-        number = share.ask(self.now)
+        number = share.start_request(self.now)
         wanted = pool.wanted(self.now)
         life, issuer = holder.life, self.issuers[half]
 
@@ -108,7 +109,7 @@
             # An issuer that was replaced answers nothing any more.
             if issuer is not self.issuers[half]:
                 return
-            loan = issuer.ask(
+            loan = issuer.grant(
                 holder.name,
                 life,
                 number,
@@ -122,7 +123,7 @@
         def come_back(loan):
             if holder.life == life:
                 made = answer(half, number, loan.share, loan.seconds)
-                pool.take_answer(made, self.now)
+                pool.handle_response(made, self.now)
 
         self.post(arrive, holder.name)
 
@@ -142,7 +143,7 @@
         By its lease the one before has stopped by then; what that one lent is
         still spent for a while.
         """
-        self.issuers[half] = Issuer(self.now, self.pace.extra_share)
+        self.issuers[half] = Issuer(self.now, self.cap_rate.recovery_share)
 
 
 @pytest.mark.parametrize('per_second', CAPS)
@@ -173,7 +174,7 @@
     granted = sorted(pair for one in world.holders for pair in one.granted)
     assert granted
     # Permits may be used a moment after they were granted.
-    span = WINDOW.seconds + PERMIT_SECONDS
+    span = WINDOW.seconds + PERMIT_LIFETIME_SECONDS
     for start, _ in granted:
         inside = sum(cost for at, cost in granted if start <= at < start + span)
         assert inside <= allowed(per_second, per_second)
@@ -196,7 +197,7 @@
             if world.random.random() < 0.01:
                 world.cut ^= {holder.name}
         world.step()
-        if world.now > 100 + 2 * SHARE_SECONDS + 1:
+        if world.now > 100 + 2 * SHARE_LEASE_SECONDS + 1:
             most = max(most, world.held())
     assert 0.5 < most <= 1 + 1e-9
 
@@ -214,13 +215,13 @@
                 tick * 0.05 * per_second
             )
             for _ in range(due):
-                if world.now > 100 + SHARE_SECONDS + 1:
+                if world.now > 100 + SHARE_LEASE_SECONDS + 1:
                     asked += 1
                     before = len(holder.granted)
                     holder.want(2400, world.now)
                     # A short wait is no refusal.
                     if len(holder.granted) == before:
-                        refused += not holder.pool.is_waited_for
+                        refused += not holder.pool.has_waiting
                 else:
                     holder.want(2400, world.now)
         world.step()
@@ -265,25 +266,25 @@
     An answer to the question before it, taken after that, would let the pool
     spend what the issuer has lent to somebody else by then.
     """
-    pool = OrganisationPool(Pace(cap(36000), WINDOW), 0.0)
-    first = pool.shares[0].ask(0.0)
-    second = pool.shares[0].ask(0.5)
-    pool.take_answer(answer(0, first, 0.8), 0.6)
+    pool = OrganisationPool(CapRate(cap(36000), WINDOW), 0.0)
+    first = pool.shares[0].start_request(0.0)
+    second = pool.shares[0].start_request(0.5)
+    pool.handle_response(answer(0, first, 0.8), 0.6)
     assert pool.shares[0].held(0.6) == 0
-    pool.take_answer(answer(0, second, 0.2), 0.7)
+    pool.handle_response(answer(0, second, 0.2), 0.7)
     assert pool.shares[0].held(0.7) == 0.2
 
 
 def test_silent_pools_share_is_not_lent_again_before_it_ends():
     """A pool is cut off with half of the cap, and goes on spending it."""
     issuer = Issuer(0.0, 0.0)
-    now = 2 * SHARE_SECONDS
-    first = issuer.ask('a', 1, 1, held=0, wanted=1, now=now)
+    now = 2 * SHARE_LEASE_SECONDS
+    first = issuer.grant('a', 1, 1, held=0, wanted=1, now=now)
     assert first.share == pytest.approx(0.9)
-    lent = issuer.ask('b', 1, 1, held=0, wanted=1, now=now + 1)
+    lent = issuer.grant('b', 1, 1, held=0, wanted=1, now=now + 1)
     assert lent.share == pytest.approx(0.1)
-    later = now + SHARE_SECONDS + 0.1
-    last = issuer.ask('b', 1, 2, held=0.1, wanted=1, now=later)
+    later = now + SHARE_LEASE_SECONDS + 0.1
+    last = issuer.grant('b', 1, 2, held=0.1, wanted=1, now=later)
     assert last.share > 0.8
 
 
@@ -295,11 +296,11 @@
     room for.
     """
     issuer = Issuer(10.0, 0.1)
-    first = issuer.ask('a', 1, 7, held=0.4, wanted=1, now=10.5)
+    first = issuer.grant('a', 1, 7, held=0.4, wanted=1, now=10.5)
     assert first.share == pytest.approx(0.5)
     # What may be lent twice ends as soon as all holders are known.
-    assert first.seconds < SHARE_SECONDS
-    other = issuer.ask('b', 1, 3, held=0, wanted=1, now=10.6)
+    assert first.seconds < SHARE_LEASE_SECONDS
+    other = issuer.grant('b', 1, 3, held=0, wanted=1, now=10.6)
     assert other.share == 0
 
 
@@ -311,24 +312,24 @@
     passed over, and the organisation refused for good.
     """
     issuer = Issuer(0.0, 0.0)
-    pace = Pace(cap(36000), WINDOW)
+    cap_rate = CapRate(cap(36000), WINDOW)
     for now in (100.0, 130.0):
-        pool = OrganisationPool(pace, now)
+        pool = OrganisationPool(cap_rate, now)
         for asked_at in (now, now + 0.3, now + 0.6):
-            number = pool.shares[0].ask(asked_at)
-            loan = issuer.ask('a', 1, number, held=0, wanted=1, now=asked_at)
+            number = pool.shares[0].start_request(asked_at)
+            loan = issuer.grant('a', 1, number, held=0, wanted=1, now=asked_at)
             assert loan is not None
             assert loan.share > 0
 
 
 def test_restarted_pool_holds_nothing():
     issuer = Issuer(0.0, 0.0)
-    now = 2 * SHARE_SECONDS
-    issuer.ask('a', 1, 1, held=0, wanted=1, now=now)
+    now = 2 * SHARE_LEASE_SECONDS
+    issuer.grant('a', 1, 1, held=0, wanted=1, now=now)
     # A question of the process before, late on its way, counts no more.
-    assert issuer.ask('a', 2, 1, held=0, wanted=1, now=now + 1).share > 0.8
-    assert issuer.ask('a', 1, 2, held=0.9, wanted=1, now=now + 1) is None
-    assert issuer.lent(now + 1) <= 1
+    assert issuer.grant('a', 2, 1, held=0, wanted=1, now=now + 1).share > 0.8
+    assert issuer.grant('a', 1, 2, held=0.9, wanted=1, now=now + 1) is None
+    assert issuer.total_outstanding(now + 1) <= 1
 
 
 @given(
@@ -341,24 +342,24 @@
 def test_pace_fits_every_window(per_second, burst, seconds, excess, slack):
     """Whatever the operator declares, rate and bursts fit what may run."""
     window = Window(seconds, excess, slack)
-    pace = Pace(cap(per_second, burst), window)
-    span = seconds + PERMIT_SECONDS
-    seconds = SHARE_SECONDS + EXTRA_MARGIN_SECONDS
-    extra = pace.extra_share * pace.per_second * seconds
-    most = pace.per_second * span + pace.burst + extra
-    assert 0 < pace.per_second <= per_second
+    cap_rate = CapRate(cap(per_second, burst), window)
+    span = seconds + PERMIT_LIFETIME_SECONDS
+    seconds = SHARE_LEASE_SECONDS + RECOVERY_MARGIN_SECONDS
+    extra = cap_rate.recovery_share * cap_rate.per_second * seconds
+    most = cap_rate.per_second * span + cap_rate.burst + extra
+    assert 0 < cap_rate.per_second <= per_second
     assert most <= allowed(per_second, burst, window)
 
 
 def lent_pool(share=0.9, per_second=36000):
-    pool = OrganisationPool(Pace(cap(per_second), WINDOW), 0.0)
+    pool = OrganisationPool(CapRate(cap(per_second), WINDOW), 0.0)
     renew(pool, 0.0, share)
     return pool
 
 
 def renew(pool, now, share=0.9):
     for half, one in enumerate(pool.shares):
-        pool.take_answer(answer(half, one.ask(now), share), now)
+        pool.handle_response(answer(half, one.start_request(now), share), now)
 
 
 def test_refusal_says_when_the_tokens_are_there():
@@ -366,17 +367,17 @@
     pool = lent_pool()
     told = []
     renew(pool, 0.1)
-    pool.ask(30000, 0.1, told.append)
-    assert told[0].is_over
-    after = told[0].after_seconds
-    rate = 0.9 * pool.pace.per_second
+    pool.acquire(30000, 0.1, told.append)
+    assert told[0].is_over_cap
+    after = told[0].retry_after_seconds
+    rate = 0.9 * pool.cap_rate.per_second
     assert after == pytest.approx((30000 - 0.1 * rate) / rate, rel=0.01)
 
 
 def test_what_fits_in_a_moment_waits_for_it():
     pool = lent_pool()
     told = []
-    pool.ask(3000, 0.0, told.append)
+    pool.acquire(3000, 0.0, told.append)
     assert not told
     pool.serve_waiting(0.1)
     assert told == [None]
@@ -384,44 +385,44 @@
 
 def test_nobody_waits_longer_than_the_bound():
     """The issuer is gone while requests wait for their pool's first share."""
-    pool = OrganisationPool(Pace(cap(36000), WINDOW), 0.0)
+    pool = OrganisationPool(CapRate(cap(36000), WINDOW), 0.0)
     told = []
-    pool.ask(2400, 0.0, told.append)
-    pool.serve_waiting(WAIT_SECONDS / 2)
+    pool.acquire(2400, 0.0, told.append)
+    pool.serve_waiting(MAX_WAIT_SECONDS / 2)
     assert not told
-    pool.serve_waiting(WAIT_SECONDS + 0.01)
-    assert not told[0].is_over
-    assert told[0].after_seconds > 0
+    pool.serve_waiting(MAX_WAIT_SECONDS + 0.01)
+    assert not told[0].is_over_cap
+    assert told[0].retry_after_seconds > 0
 
 
 def test_tokens_end_with_the_share():
     """A pool that hears nothing more stops; another one holds its share."""
     pool = lent_pool()
     told = []
-    pool.ask(2400, SHARE_SECONDS + 1, told.append)
-    pool.serve_waiting(SHARE_SECONDS + 1 + WAIT_SECONDS)
-    assert not told[0].is_over
+    pool.acquire(2400, SHARE_LEASE_SECONDS + 1, told.append)
+    pool.serve_waiting(SHARE_LEASE_SECONDS + 1 + MAX_WAIT_SECONDS)
+    assert not told[0].is_over_cap
 
 
 def test_tokens_of_a_request_that_did_not_run_come_back():
     pool = lent_pool()
     told = []
     renew(pool, 1.0)
-    pool.ask(25000, 1.0, told.append)
-    pool.give_back(25000, 1.0)
-    pool.ask(25000, 1.0, told.append)
+    pool.acquire(25000, 1.0, told.append)
+    pool.refund(25000, 1.0)
+    pool.acquire(25000, 1.0, told.append)
     assert told == [None, None]
 
 
 def test_lowered_cap_binds_at_once():
     pool = lent_pool()
     renew(pool, 1.0)
-    pool.pace = Pace(cap(3600), WINDOW)
+    pool.cap_rate = CapRate(cap(3600), WINDOW)
     renew(pool, 1.1)
     told = []
     for _ in range(40):
-        pool.ask(1000, 1.2, told.append)
-    assert told.count(None) * 1000 <= pool.pace.burst
+        pool.acquire(1000, 1.2, told.append)
+    assert told.count(None) * 1000 <= pool.cap_rate.burst
 
 
 def test_half_a_cap_is_lent_while_one_issuer_is_gone():
@@ -431,13 +432,13 @@
     cap: nearly all that is usually asked for.
     """
     pool = lent_pool()
-    now = SHARE_SECONDS + 1
+    now = SHARE_LEASE_SECONDS + 1
     one = pool.shares[0]
-    pool.take_answer(answer(0, one.ask(now), 0.9), now)
+    pool.handle_response(answer(0, one.start_request(now), 0.9), now)
     assert pool.held(now) == pytest.approx(0.45)
-    before = OrganisationPool(pool.pace, now)
+    before = OrganisationPool(pool.cap_rate, now)
     for other in (pool, before):
-        other.demand.note(2400, now)
+        other.demand.record(2400, now)
     renew(before, now)
     assert pool.wanted(now) == pytest.approx(2 * before.wanted(now))
 
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -14,16 +14,21 @@
 from jacinthfold.fleet.table import HostState
 from jacinthfold.placement.target import Load
 from jacinthfold.placement.targets import TargetTable
-from jacinthfold.quarantine import ends
-from jacinthfold.quarantine.ends import BEGUN, WAITING, End, SuspectWord
+from jacinthfold.quarantine import crashes
+from jacinthfold.quarantine.crashes import (
+    QUEUED_WEIGHT,
+    RUNNING_WEIGHT,
+    Crash,
+    SuspectReport,
+)
 from jacinthfold.quarantine.quarantine import Quarantine
 from jacinthfold.quarantine.suspects import (
-    FORGET_CHECK_SECONDS,
-    NEWS_LIMIT,
-    NEWS_SECONDS,
-    REFUSED_SECONDS,
-    STANDING_LIMIT,
-    SUSPECTS_LIMIT,
+    EXPIRY_CHECK_SECONDS,
+    MAX_CHANGED_REPORTS,
+    MAX_REPEATED_REPORTS,
+    MAX_SUSPECTS,
+    REFUSAL_SECONDS,
+    REPORT_PERIOD_SECONDS,
     Suspects,
 )
 from tests.fakes import FakeClock
@@ -41,30 +46,34 @@
         self.withdrawn = []
         self.suspects.on_refused = self.withdrawn.append
 
-    def end(self, name, life, weight=BEGUN, *, is_fresh=True):
-        self.suspects.note_end(name, self.made(life, weight, is_fresh=is_fresh))
+    def record_crash(
+        self, name, life, weight=RUNNING_WEIGHT, *, had_no_output=True
+    ):
+        self.suspects.record_crash(
+            name, self.made(life, weight, had_no_output=had_no_output)
+        )
 
-    def made(self, life, weight=BEGUN, *, is_fresh=True):
+    def made(self, life, weight=RUNNING_WEIGHT, *, had_no_output=True):
         at_ms = round(self.clock.now().timestamp() * 1000)
-        return End(life, weight, is_fresh, at_ms)
+        return Crash(life, weight, had_no_output, at_ms)
 
-    def ends(self, name, *lives, **fields):
+    def crashes(self, name, *lives, **fields):
         for life in lives:
             self.clock.advance(1.0)
-            self.end(name, life, **fields)
+            self.record_crash(name, life, **fields)
 
     def is_refused(self, name):
         return self.suspects.refused_seconds(name) is not None
 
     def words(self):
-        return self.suspects.news(is_near=False, is_full=True)
+        return self.suspects.reports_to_send(is_near=False, is_full=True)
 
 
 def test_third_end_refuses_a_request():
     book = Book()
-    book.ends('q', 'i-1', 'i-2')
+    book.crashes('q', 'i-1', 'i-2')
     assert not book.is_refused('q')
-    book.ends('q', 'i-3')
+    book.crashes('q', 'i-3')
     assert book.is_refused('q')
     assert not book.is_refused('another')
 
@@ -74,12 +83,12 @@
     clock = FakeClock()
     books = [Book(clock) for _ in range(3)]
     for book in books:
-        book.end('q', 'i-1')
+        book.record_crash('q', 'i-1')
     for book in books:
         for other in books:
-            book.suspects.take(other.words(), is_near=True)
+            book.suspects.merge_reports(other.words(), is_near=True)
     assert not any(book.is_refused('q') for book in books)
-    assert len(books[0].suspects.get('q').ends) == 1
+    assert len(books[0].suspects.get('q').crashes) == 1
 
 
 @given(st.data())
@@ -88,20 +97,24 @@
     clock = FakeClock()
     books = [Book(clock) for _ in range(3)]
     for number, book in enumerate(books):
-        book.end('q', f'i-{number}')
+        book.record_crash('q', f'i-{number}')
     words = [word for book in books for word in book.words()]
     for book in books:
         for word in data.draw(st.permutations(words + words)):
-            book.suspects.take([word], is_near=True)
+            book.suspects.merge_reports([word], is_near=True)
         assert book.is_refused('q')
 
 
 def test_request_that_waited_at_three_ends_is_not_refused():
     """It was queued at three targets that another request ended."""
     book = Book()
-    book.ends('queued', 'i-1', 'i-2', 'i-3', weight=WAITING, is_fresh=False)
+    book.crashes(
+        'queued', 'i-1', 'i-2', 'i-3', weight=QUEUED_WEIGHT, had_no_output=False
+    )
     assert not book.is_refused('queued')
-    book.ends('queued', 'i-4', 'i-5', 'i-6', weight=WAITING, is_fresh=False)
+    book.crashes(
+        'queued', 'i-4', 'i-5', 'i-6', weight=QUEUED_WEIGHT, had_no_output=False
+    )
     assert book.is_refused('queued')
 
 
@@ -113,15 +126,15 @@
     """
     book, other = Book(), Book()
     for number in range(12):
-        book.ends('popular', f'i-{number}')
+        book.crashes('popular', f'i-{number}')
         late = book.words()
         book.clock.advance(0.5)
-        book.suspects.note_served('popular')
-        book.suspects.take(late, is_near=False)
-        other.suspects.take([*book.words(), *late], is_near=True)
+        book.suspects.record_served('popular')
+        book.suspects.merge_reports(late, is_near=False)
+        other.suspects.merge_reports([*book.words(), *late], is_near=True)
     assert not book.is_refused('popular')
     assert not other.is_refused('popular')
-    assert not book.suspects.get('popular').ends
+    assert not book.suspects.get('popular').crashes
 
 
 def test_stream_that_runs_beside_the_culprit_is_not_refused():
@@ -132,12 +145,12 @@
     """
     book = Book()
     for life in ('i-1', 'i-2', 'i-3'):
-        book.ends('culprit', life)
-        book.end('stream', life, is_fresh=False)
+        book.crashes('culprit', life)
+        book.record_crash('stream', life, had_no_output=False)
     assert book.is_refused('culprit')
     assert not book.is_refused('stream')
     assert book.withdrawn == ['culprit']
-    book.ends('stream', 'i-4', 'i-5', 'i-6', is_fresh=False)
+    book.crashes('stream', 'i-4', 'i-5', 'i-6', had_no_output=False)
     assert book.is_refused('stream')
 
 
@@ -148,11 +161,11 @@
     refused anew at once and not after three.
     """
     book = Book()
-    book.ends('q', 'i-1', 'i-2', 'i-3')
-    book.clock.advance(REFUSED_SECONDS + 1)
-    book.suspects.forget_at_times()
+    book.crashes('q', 'i-1', 'i-2', 'i-3')
+    book.clock.advance(REFUSAL_SECONDS + 1)
+    book.suspects.expire_if_due()
     assert not book.is_refused('q')
-    book.ends('q', 'i-4')
+    book.crashes('q', 'i-4')
     assert book.is_refused('q')
 
 
@@ -163,14 +176,14 @@
     when its third one comes.
     """
     book = Book()
-    book.ends('q', 'i-1', 'i-2')
+    book.crashes('q', 'i-1', 'i-2')
     for number in range(10_000):
-        book.end(f'made-up-{number}', 'i-2')
-    assert len(book.suspects) <= 2 * SUSPECTS_LIMIT
-    book.clock.advance(FORGET_CHECK_SECONDS + 1)
-    book.suspects.forget_at_times()
-    assert len(book.suspects) <= SUSPECTS_LIMIT
-    book.ends('q', 'i-3')
+        book.record_crash(f'made-up-{number}', 'i-2')
+    assert len(book.suspects) <= 2 * MAX_SUSPECTS
+    book.clock.advance(EXPIRY_CHECK_SECONDS + 1)
+    book.suspects.expire_if_due()
+    assert len(book.suspects) <= MAX_SUSPECTS
+    book.crashes('q', 'i-3')
     assert book.is_refused('q')
 
 
@@ -179,10 +192,10 @@
     book = Book()
     for life in ('i-1', 'i-2', 'i-3'):
         for number in range(3000):
-            book.end(f'q-{number}', f'{life}-{number}')
-    book.ends('worst', 'i-1', 'i-2', 'i-3', 'i-4')
+            book.record_crash(f'q-{number}', f'{life}-{number}')
+    book.crashes('worst', 'i-1', 'i-2', 'i-3', 'i-4')
     told = book.words()
-    assert len(told) <= NEWS_LIMIT + STANDING_LIMIT
+    assert len(told) <= MAX_CHANGED_REPORTS + MAX_REPEATED_REPORTS
     assert told[0].fingerprint == 'worst'
     assert len(encode(heartbeat(told))) < 30_000
     assert book.is_refused('q-2999')
@@ -190,15 +203,15 @@
 
 def test_suspects_are_forgotten():
     book = Book()
-    book.ends('once', 'i-1')
-    book.ends('refused', 'i-1', 'i-2', 'i-3')
+    book.crashes('once', 'i-1')
+    book.crashes('refused', 'i-1', 'i-2', 'i-3')
     for _ in range(3):
-        book.clock.advance(ends.FORGET_FEW_SECONDS)
-        book.suspects.forget_at_times()
+        book.clock.advance(crashes.SINGLE_CRASH_RETENTION_SECONDS)
+        book.suspects.expire_if_due()
     assert book.suspects.get('once') is None
     assert book.suspects.get('refused') is not None
-    book.clock.advance(ends.FORGET_SECONDS)
-    book.suspects.forget_at_times()
+    book.clock.advance(crashes.RETENTION_SECONDS)
+    book.suspects.expire_if_due()
     assert not book.suspects
 
 
@@ -238,7 +251,7 @@
 def test_hosts_of_the_version_before_pass_over_the_words():
     """Words of both versions are read by both."""
     assert heartbeat().suspects == []
-    content = encode(heartbeat([SuspectWord('q', 0, [])]))
+    content = encode(heartbeat([SuspectReport('q', 0, [])]))
     read = msgspec.json.decode(content, type=EarlierHeartbeat)
     assert read.revision == 1
     assert isinstance(decode(content), Heartbeat)
@@ -255,7 +268,9 @@
 def saw_end(fleet, host, name, life):
     suspects = fleet.hosts[host].heartbeats.content.suspects
     at_ms = round(fleet.clock.now().timestamp() * 1000)
-    suspects.note_end(name, End(life, BEGUN, is_fresh=True, at_ms=at_ms))
+    suspects.record_crash(
+        name, Crash(life, RUNNING_WEIGHT, had_no_output=True, at_ms=at_ms)
+    )
 
 
 @pytest.mark.parametrize(('count', 'lost'), [(8, 0.03), (65, 0.03), (90, 0.1)])
@@ -271,7 +286,7 @@
     fleet.run(SETTLED_SECONDS)
     for number, host in enumerate(('h001', 'h002', 'h005')):
         saw_end(fleet, host, 'q', f'i-{number}')
-    fleet.run(NEWS_SECONDS)
+    fleet.run(REPORT_PERIOD_SECONDS)
     assert refusing(fleet, 'q') == set(fleet.hosts)
 
 
@@ -336,7 +351,7 @@
         self.records.update(contents)
         for listener in self.listeners:
             for name, content in contents.items():
-                listener.take_record(name, content)
+                listener.apply_record(name, content)
 
 
 def cut_off_hosts(store, count):
@@ -346,15 +361,15 @@
         Quarantine(TargetTable({}, clock), store, clock) for _ in range(count)
     ]
     for host in made:
-        host.take_record('key', b'a key')
+        host.apply_record('key', b'a key')
         store.listeners.append(host)
     return made
 
 
 def see_end(host, life):
     at_ms = round(host._clock.now().timestamp() * 1000)
-    end = End(life, BEGUN, is_fresh=True, at_ms=at_ms)
-    host.suspects.note_end('q', end)
+    crash = Crash(life, RUNNING_WEIGHT, had_no_output=True, at_ms=at_ms)
+    host.suspects.record_crash('q', crash)
 
 
 async def written(hosts):
@@ -417,7 +432,7 @@
         see_end(host, life)
     asyncio.run(written([host]))
     for name in store.records:
-        host.take_record(name, None)
+        host.apply_record(name, None)
     assert refuse_all([host]) == [True]
 
 
@@ -426,5 +441,5 @@
     (host,) = cut_off_hosts(SharedStore(), 1)
     for name in ('q/i-1', 'q'):
         with pytest.raises(UnreadableRecordError):
-            host.take_record(name, content)
+            host.apply_record(name, content)
     assert not host.suspects
--- a/tests/gateway/test_witness.py
+++ b/tests/gateway/test_witness.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from jacinthfold.quarantine import witness as seen
+from jacinthfold.quarantine import crash_detector as seen
+from jacinthfold.quarantine.crash_detector import CrashDetector
+from jacinthfold.quarantine.crash_model import CrashCause
 from jacinthfold.quarantine.fingerprints import Fingerprints
-from jacinthfold.quarantine.presence import Cause
-from jacinthfold.quarantine.witness import Witness
 from tests.gateway.test_placement import Scene
 
 
@@ -16,33 +16,33 @@
     """Hold a witness, what it reported, and what the network would say."""
 
     def __init__(self, monkeypatch):
-        monkeypatch.setattr(seen, 'GATHER_SECONDS', 0.0)
-        monkeypatch.setattr(seen, 'LOOK_PAUSE_SECONDS', 0.0)
-        monkeypatch.setattr(seen, 'LOOK_CONNECT_SECONDS', 0.0)
+        monkeypatch.setattr(seen, 'SETTLE_SECONDS', 0.0)
+        monkeypatch.setattr(seen, 'RECHECK_DELAY_SECONDS', 0.0)
+        monkeypatch.setattr(seen, 'PROBE_TIMEOUT_SECONDS', 0.0)
         self.scene = Scene()
         self.fingerprints = Fingerprints()
-        self.fingerprints.use_key(b'a key')
-        self.witness = Witness(
+        self.fingerprints.set_key(b'a key')
+        self.detector = CrashDetector(
             self.scene.targets, self.fingerprints, self.scene.clock
         )
         self.reports = []
-        self.witness.on_end = self.reports.append
-        self.witness.listens = self._listens
+        self.detector.on_crash = self.reports.append
+        self.detector.is_listening = self._is_listening
         # By instance: whether something listens; None is no answer.
         self.listening = {}
         self._numbers = itertools.count()
 
-    async def _listens(self, target):
+    async def _is_listening(self, target):
         return self.listening.get(target.record.instance, False)
 
     def begin(self, instance, body=b'', *, has_head=True, has_events=False):
         request = self.scene.request()
         request.body = body or b'body %d' % next(self._numbers)
         target = self.scene.targets.find(instance)
-        attempt = self.witness.begin(request, target, lambda: None)
+        attempt = self.detector.start_attempt(request, target, lambda: None)
         now = self.scene.clock.monotonic()
         if has_head:
-            attempt.note_heard(self.scene.clock)
+            attempt.record_activity(self.scene.clock)
         if has_events:
             attempt.first_event_at = now + 0.1
         return attempt
@@ -50,18 +50,18 @@
     def learn_heads(self, lead_seconds=0.1):
         """Have an answer show when heads come."""
         attempt = self.begin('i-1')
-        first_at = attempt.begun_at + lead_seconds
-        self.witness.note_over(attempt, first_at, is_broken=False)
+        first_at = attempt.started_at + lead_seconds
+        self.detector.record_finish(attempt, first_at, is_broken=False)
 
     async def break_all(self, *attempts):
         for attempt in attempts:
             first_at = attempt.first_event_at or 0.0
-            self.witness.note_over(attempt, first_at, is_broken=True)
+            self.detector.record_finish(attempt, first_at, is_broken=True)
         await self.looked()
 
     async def looked(self):
-        while self.witness._tasks:
-            await asyncio.gather(*self.witness._tasks)
+        while self.detector._tasks:
+            await asyncio.gather(*self.detector._tasks)
 
     def print_of(self, attempt):
         return self.fingerprints.of(attempt.request)
@@ -92,10 +92,10 @@
     watch.begin('i-2')
     asyncio.run(watch.break_all(first, queued, streaming))
     (report,) = watch.reports
-    assert report.cause is Cause.UNKNOWN
+    assert report.cause is CrashCause.UNKNOWN
     assert report.present[0].fingerprint == watch.print_of(first)
     found = {
-        one.fingerprint: (one.is_begun, one.has_events)
+        one.fingerprint: (one.is_started, one.has_events)
         for one in report.present
     }
     assert found == {
@@ -115,7 +115,7 @@
         watch.learn_heads(lead_seconds=0.0)
     asyncio.run(watch.break_all(watch.begin('i-1', has_head=False)))
     (report,) = watch.reports
-    assert report.present[0].is_begun
+    assert report.present[0].is_started
 
 
 def test_target_that_was_leaving_has_not_been_ended(watch):
@@ -151,7 +151,7 @@
     attempts = [watch.begin('cold') for _ in range(8)]
     asyncio.run(watch.break_all(*attempts))
     (report,) = watch.reports
-    assert report.cause is Cause.COLD_OVERRUN
+    assert report.cause is CrashCause.COLD_OVERRUN
     assert report.present == []
 
 
@@ -170,7 +170,7 @@
     attempt = watch.begin('i-1')
 
     async def lose():
-        watch.witness.note_over(attempt, 0.0, is_broken=True)
+        watch.detector.record_finish(attempt, 0.0, is_broken=True)
         await asyncio.sleep(0.01)
         assert watch.reports == []
         watch.scene.targets.remove('i-1')
@@ -194,7 +194,7 @@
         return fingerprints.of(request)
 
     assert made() == ''
-    fingerprints.use_key(b'a key')
+    fingerprints.set_key(b'a key')
     same = made(body=b'one')
     assert same == made(body=b'one')
     others = {
@@ -206,5 +206,5 @@
         made(body=b'', target=b'/xone'),
     }
     assert len(others | {same}) == 7
-    fingerprints.use_key(b'another key')
+    fingerprints.set_key(b'another key')
     assert made(body=b'one') != same
--- a/tools/ablations/organisations.py
+++ b/tools/ablations/organisations.py
@@ -118,8 +118,8 @@
         [
             (
                 'quota/issuer.py',
-                'return max(0.0, _WHOLE - others)',
-                'return _WHOLE',
+                'return max(0.0, _FULL_SHARE - others)',
+                'return _FULL_SHARE',
             )
         ],
         QUOTA + 'test_silent_pools_share_is_not_lent_again_before_it_ends',
@@ -129,7 +129,7 @@
         [
             (
                 'quota/issuer.py',
-                'if now < self._known_from:\n            # Others',
+                'if now < self._recovered_at:\n            # Others',
                 'if False:\n            # Others',
             )
         ],
@@ -140,7 +140,7 @@
         [
             (
                 'quota/share.py',
-                'if number != self._ask_number or now < self._asked_at:',
+                'if number != self._request_number or now < self._requested_at:',
                 'if False:',
             )
         ],
@@ -151,7 +151,7 @@
         [
             (
                 'quota/pool.py',
-                'if self._bucket.filled_at < share.ends_at <= now:',
+                'if self._bucket.refilled_at < share.expires_at <= now:',
                 'if False:',
             )
         ],
@@ -162,8 +162,8 @@
         [
             (
                 'quota/issuer.py',
-                'share = min(self._target(holder, now), self._most(holder, held, now))',
-                'share = self._target(holder, now) * 2',
+                'share = min(\n            self._fair_share(holder, now),\n            self._available_share(holder, held, now),\n        )',
+                'share = self._fair_share(holder, now) * 2',
             )
         ],
         WINDOWS,
--- a/tools/ablations/quarantine.py
+++ b/tools/ablations/quarantine.py
@@ -24,7 +24,7 @@
         [
             (
                 'fleet/heartbeats.py',
-                '        self.content.suspects.take(heartbeat.suspects, is_near=is_near)',
+                '        self.content.suspects.merge_reports(heartbeat.suspects, is_near=is_near)',
                 '',
             ),
         ],
@@ -53,8 +53,8 @@
         [
             (
                 'quarantine/quarantine.py',
-                'if suspect.is_witnessed and len',
-                'if False and len',
+                'suspect.is_observed_here\n            and len',
+                'False\n            and len',
             ),
         ],
         PROCESSES + 'test_hosts_that_all_restart_read_it_from_the_store',
@@ -74,9 +74,9 @@
         'quarantine: queued requests weigh half',
         [
             (
-                'quarantine/ends.py',
-                'BEGUN, WAITING = 2, 1',
-                'BEGUN, WAITING = 2, 2',
+                'quarantine/crashes.py',
+                'RUNNING_WEIGHT, QUEUED_WEIGHT = 2, 1',
+                'RUNNING_WEIGHT, QUEUED_WEIGHT = 2, 2',
             )
         ],
         WORDS + 'test_request_that_waited_at_three_ends_is_not_refused',
@@ -105,14 +105,20 @@
     ),
     Ablation(
         'quarantine: a broken connection is no end',
-        [('quarantine/witness.py', 'if listens is False:', 'if True:')],
+        [
+            (
+                'quarantine/crash_detector.py',
+                'if is_listening is False:',
+                'if True:',
+            )
+        ],
         WITNESS + 'test_broken_connections_of_a_target_that_listens_are_no_end',
     ),
     Ablation(
         'quarantine: a planned end is no fault',
         [
             (
-                'quarantine/witness.py',
+                'quarantine/crash_detector.py',
                 'if target.last_resort_until is not None:',
                 'if False:',
             ),
@@ -121,12 +127,12 @@
     ),
     Ablation(
         'quarantine: a lost rack is no fault',
-        [('quarantine/witness.py', 'if not together:', 'if True:')],
+        [('quarantine/crash_detector.py', 'if not simultaneous:', 'if True:')],
         WITNESS + 'test_targets_that_end_together_lost_their_rack',
     ),
     Ablation(
         'quarantine: an overrun cold target is no fault',
-        [('quarantine/witness.py', '0 < pace < sends', 'sends < 0')],
+        [('quarantine/crash_detector.py', '0 < pace < sends', 'sends < 0')],
         WITNESS
         + 'test_cold_target_that_got_too_much_was_not_ended_by_one_request',
     ),
@@ -162,9 +168,9 @@
         'quarantine: whether heads tell is learned',
         [
             (
-                'quarantine/witness.py',
-                'is_begun=attempt.is_begun or not self._heads_tell(target)',
-                'is_begun=attempt.is_begun',
+                'quarantine/crash_detector.py',
+                'is_started=attempt.is_started\n                or not self._heads_are_early(target)',
+                'is_started=attempt.is_started',
             ),
         ],
         WITNESS + 'test_heads_that_come_with_the_first_event_tell_nothing',
