--- a/jacinthfold/organisations/__init__.py
+++ b/jacinthfold/organisations/__init__.py
@@ -1,1 +1,1 @@
-"""Know the organisations that call, and which key belongs to whom."""
+"""Organisations that call, their keys and their caps."""
--- a/jacinthfold/organisations/credentials.py
+++ b/jacinthfold/organisations/credentials.py
@@ -1,24 +1,25 @@
-"""Read the keys that callers send, and compare them without keeping them."""
+"""Read the keys that callers send and reduce them to digests."""
 
 import hashlib
 import secrets
 
-# Drawn anew at each start: a digest that leaks is worth nothing elsewhere.
+# Drawn at each start, so that a leaked digest is useless elsewhere.
 _SECRET = secrets.token_bytes(32)
 _DIGEST_BYTES = 16
-# Longer than any key that operators declare; the rest is never hashed.
+# Longer than any key that operators configure. Longer input is not hashed.
 MAX_KEY_BYTES = 8192
 _SCHEME = b'bearer'
 
 
 def digest_of(key: bytes) -> bytes:
-    """Return what is kept of a key; equal for equal keys in this process."""
+    """Return the keyed digest of a key; it differs between processes."""
     return hashlib.blake2b(key, digest_size=_DIGEST_BYTES, key=_SECRET).digest()
 
 
 def bearer_digest(credentials: list[bytes]) -> bytes | None:
-    """Return the digest of the one bearer key sent, None without one."""
-    # Of two keys one host might read the first and another one the last.
+    """Return the digest of the only bearer key sent, or None."""
+    # Several headers are ambiguous: one host might use the first key, another
+    # the last one.
     if len(credentials) != 1:
         return None
     scheme, _, key = credentials[0].strip().partition(b' ')
--- a/jacinthfold/quota/__init__.py
+++ b/jacinthfold/quota/__init__.py
@@ -1,7 +1,8 @@
-"""Hold organisations to caps that count over all hosts.
+"""Enforce rate caps of organisations across all hosts.
 
-An issuer lends shares of a cap to one pool in each region for a few seconds at
-a time; a pool lets requests through by a token bucket that its share fills.
-Shares that are lent never add up to more than the whole, whoever can't be
-reached, so that a cut or a crash costs the lender and not the cap.
+An issuer leases shares of a cap, for a second or two at a time, to one pool in
+each region. A pool admits requests through a token bucket that its share
+refills. Outstanding shares never add up to more than the whole cap, also when
+hosts are unreachable: a partition or a crash reduces what is leased and never
+lets an organisation exceed its cap.
 """
--- a/jacinthfold/quota/bounds.py
+++ b/jacinthfold/quota/bounds.py
@@ -1,51 +1,51 @@
-"""Work out how fast a cap may be spent so that no window holds too much."""
+"""Derive rate and burst of a cap so that no window exceeds the limit."""
 
 from jacinthfold.organisations.model import Cap
 
 # From the grant of a permit until its request has reached a target. Unused
 # permits expire after this.
 PERMIT_LIFETIME_SECONDS = 0.5
-# How long a lent share may be spent unless it is lent again. Long enough to
-# outlive a store that is away for some seconds, together with an issuer's
-# lease; what an issuer that takes over waits until it knows all holders.
+# How long a leased share may be spent unless it is renewed. Together with the
+# issuer's own lease this bridges a store outage of some seconds. A new issuer
+# waits this long until it knows all holders.
 SHARE_LEASE_SECONDS = 1.5
-# What an issuer lends before it knows all holders ends so long after that: by
-# then each holder has asked again.
+# Shares leased before an issuer knows all holders expire this long after it
+# does: by then each holder has sent another request.
 RECOVERY_MARGIN_SECONDS = 0.3
-# Issuers of one cap, on different hosts, each of which lends a half: a cap is
-# most of twice the usual, so that one issuer's loss costs little.
+# Issuers per cap, on different hosts, each of which leases one half. A cap is
+# mostly twice the usual demand, so the loss of one issuer has little effect.
 HALVES = 2
-# Kept back for clocks that tick apart and requests that arrive late.
+# The rest is reserved for clock drift and requests that arrive late.
 SAFETY_FACTOR = 0.96
-# Of what a window may hold beyond the steady rate, the part that buckets hold.
-# The rest is lent by an issuer that has just begun and does not know yet what
-# is still held from before.
+# Fraction of the window's limit beyond the steady rate that buckets may hold.
+# A new issuer leases the rest while it does not know yet which shares of its
+# predecessor are still outstanding.
 BURST_FRACTION = 0.4
-# A steady rate may use this much of what a window holds where it allows no
-# burst.
+# Largest fraction of the window's limit for the steady rate, where the cap
+# allows no burst.
 STEADY_FRACTION = 0.9
 _RECOVERY_LEASE_SECONDS = SHARE_LEASE_SECONDS + RECOVERY_MARGIN_SECONDS
 
 
 class Window:
-    """Hold how what runs is counted."""
+    """Sliding window over which the usage of caps is counted."""
 
     __slots__ = ('excess', 'seconds', 'slack')
 
     def __init__(self, seconds: float, excess: float, slack: float) -> None:
-        """Take the window, the excess as a share, and the slack in units."""
+        """Set the length, the tolerated excess ratio and the slack in units."""
         self.seconds = seconds
         self.excess = excess
         self.slack = slack
 
 
 class CapRate:
-    """Hold rate and burst of a whole cap, and what may be lent on top."""
+    """Rate and burst of a whole cap, and the share leased in recovery."""
 
     __slots__ = ('burst', 'recovery_share', 'per_second')
 
     def __init__(self, cap: Cap, window: Window) -> None:
-        """Work them out from a cap and the window that it is counted by."""
+        """Derive them from a cap and the window that counts it."""
         window_limit = cap.per_second * window.seconds + cap.burst
         window_limit = (
             window_limit * (1 + window.excess) + window.slack
--- a/jacinthfold/quota/coordinator.py
+++ b/jacinthfold/quota/coordinator.py
@@ -1,4 +1,4 @@
-"""Take in what other hosts ask and answer about caps."""
+"""Handle messages of other hosts about caps."""
 
 from functools import partial
 
@@ -17,7 +17,7 @@
 
 
 class QuotaCoordinator:
-    """Hold the parts that keep caps, and tell messages apart."""
+    """Connect pools, issuers and permits, and dispatch messages."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         window: Window,
         clock: Clock,
     ) -> None:
-        """Put the parts together."""
+        """Create and connect the components."""
         self._hosts = hosts
         self.outbox = Outbox(hosts.own)
         self.pools = Pools(window, clock)
@@ -35,7 +35,7 @@
         self.pools.request_share = self._request_share
 
     def handle_datagram(self, content: bytes, sender: Endpoint) -> None:
-        """Take a datagram; raise ValueError."""
+        """Handle a datagram; raise ValueError if it is malformed."""
         datagram = decode(content)
         for permit_request in datagram.permit_asks:
             respond = partial(self._respond, sender, permit_request.number)
--- a/jacinthfold/quota/demand.py
+++ b/jacinthfold/quota/demand.py
@@ -1,41 +1,41 @@
-"""Measure how much of a cap is asked for."""
+"""Measure the demand for an organisation's cap."""
 
 import math
 
-# Over which asking is averaged: a peak that comes within two seconds is
-# followed within half of one.
+# Time constant of the average: it follows a peak that builds up over two
+# seconds within half a second.
 AVERAGING_SECONDS = 1.0
-# The largest request of late keeps a share large enough for the next of its
-# kind for about this long.
+# Time constant of the largest recent cost: for about this long the share stays
+# large enough for another request of that size.
 LARGEST_COST_DECAY_SECONDS = 4.0
 
 
 class Demand:
-    """Hold the rate that is asked for and the largest request of late."""
+    """Requested rate and the largest recent cost, both decaying."""
 
     __slots__ = ('_at', '_largest', '_rate', 'last_request_at')
 
     def __init__(self, now: float) -> None:
-        """Start with none."""
+        """Start with no demand."""
         self._rate = 0.0
         self._largest = 0.0
         self._at = now
         self.last_request_at = now
 
     def record(self, cost: float, now: float) -> None:
-        """Take that so much was asked for."""
+        """Record a request and its cost."""
         self._decay(now)
         self._rate += cost / AVERAGING_SECONDS
         self._largest = max(self._largest, cost)
         self.last_request_at = now
 
     def per_second(self, now: float) -> float:
-        """Return what is asked for in a second."""
+        """Return the requested cost per second."""
         self._decay(now)
         return self._rate
 
     def largest_cost(self, now: float) -> float:
-        """Return about the largest request of late."""
+        """Return the decayed cost of the largest recent request."""
         self._decay(now)
         return self._largest
 
--- a/jacinthfold/quota/issuer.py
+++ b/jacinthfold/quota/issuer.py
@@ -1,17 +1,17 @@
-"""Lend shares of one organisation's cap so that they never exceed it."""
+"""Lease shares of one organisation's cap without exceeding it."""
 
 from jacinthfold.quota.bounds import (
     RECOVERY_MARGIN_SECONDS,
     SHARE_LEASE_SECONDS,
 )
 
-# Kept for a pool that begins while the others hold all: a tenth of a cap.
+# Reserved for a pool that starts while the others hold the rest of the cap.
 NEW_POOL_SHARE = 0.1
 _FULL_SHARE = 1.0
 
 
 class _Holder:
-    """Hold what one pool may still be spending, and what it asked for."""
+    """Shares that one pool may still spend, and its last request."""
 
     __slots__ = ('_leases', 'incarnation', 'number', 'wanted', 'wanted_until')
 
@@ -27,9 +27,9 @@
         return max(live, default=0.0)
 
     def record_held(self, share: float, now: float) -> None:
-        """Take what is held, by the holder's word at its question."""
-        # Every earlier answer is void for it by now. Until when it may spend
-        # what it holds is not later than the latest end that was lent.
+        """Replace the leases by what the holder reports in its request."""
+        # The holder ignores responses to earlier requests from now on. What it
+        # holds expires no later than the latest lease granted to it.
         expires_at = max(
             (expiry for _, expiry in self._leases),
             default=now + SHARE_LEASE_SECONDS,
@@ -41,18 +41,18 @@
 
 
 class ShareLease:
-    """Hold a share and for how long it is lent, from the question on."""
+    """Leased share and its duration, which counts from the request."""
 
     __slots__ = ('seconds', 'share')
 
     def __init__(self, share: float, seconds: float) -> None:
-        """Take both."""
+        """Set the share of the half and the duration."""
         self.share = share
         self.seconds = seconds
 
 
 class Issuer:
-    """Lend one half of a cap."""
+    """Lease shares of one half of a cap."""
 
     __slots__ = (
         '_recovery_share',
@@ -62,15 +62,15 @@
     )
 
     def __init__(self, now: float, recovery_share: float) -> None:
-        """Begin while earlier shares may still be held by anyone."""
+        """Start in recovery: pools may still hold shares of a predecessor."""
         self._holders: dict[str, _Holder] = {}
-        # Every share of an issuer before has ended by then.
+        # All shares leased by a predecessor have expired by then.
         self._recovered_at = now + SHARE_LEASE_SECONDS
         self._recovery_share = recovery_share
         self._lent_in_recovery = 0.0
 
     def total_outstanding(self, now: float) -> float:
-        """Return what may be held by all together, as far as is known."""
+        """Return the sum of shares that the known holders may still spend."""
         return sum(one.outstanding(now) for one in self._holders.values())
 
     def grant(
@@ -83,7 +83,7 @@
         wanted: float,
         now: float,
     ) -> ShareLease | None:
-        """Return what is lent, None for a question that came late."""
+        """Return the leased share, or None if the request is outdated."""
         holder = self._find_holder(name, incarnation)
         if holder is None or number <= holder.number:
             return None
@@ -103,7 +103,7 @@
     def _find_holder(self, name: str, incarnation: int) -> _Holder | None:
         known = self._holders.get(name)
         if known is None or known.incarnation < incarnation:
-            # The process before has ended, and with it what it held.
+            # The previous process of this host is gone with all it held.
             known = _Holder(incarnation)
             self._holders[name] = known
         return known if known.incarnation == incarnation else None
@@ -111,10 +111,10 @@
     def _available_share(
         self, holder: _Holder, held: float, now: float
     ) -> float:
-        """Return what can be lent without lending anything twice."""
+        """Return the largest share that is not outstanding elsewhere."""
         if now < self._recovered_at:
-            # Others may hold what they haven't told yet: beyond what the
-            # holder has already, only what buckets leave room for.
+            # Other pools may hold shares that they have not reported yet:
+            # extend only by the recovery share, which the buckets leave free.
             available = max(0.0, self._recovery_share - self._lent_in_recovery)
             granted = min(available, max(0.0, holder.wanted - held))
             self._lent_in_recovery += granted
@@ -123,14 +123,14 @@
         return max(0.0, _FULL_SHARE - others)
 
     def _lease_seconds(self, now: float) -> float:
-        # What is lent before all holders are known must end soon after.
+        # Shares leased during recovery must expire soon after its end.
         if now >= self._recovered_at:
             return SHARE_LEASE_SECONDS
         left = self._recovered_at - now + RECOVERY_MARGIN_SECONDS
         return min(SHARE_LEASE_SECONDS, left)
 
     def _fair_share(self, holder: _Holder, now: float) -> float:
-        """Return the part that is fair by what all ask for."""
+        """Return the holder's share in proportion to the wanted shares."""
         wants = [
             one.wanted
             for one in self._holders.values()
--- a/jacinthfold/quota/issuers.py
+++ b/jacinthfold/quota/issuers.py
@@ -1,8 +1,10 @@
-"""Decide which host lends the shares of which organisations.
+"""Decide which host leases the shares of which organisations.
 
-Two issuers of one cap would lend it twice. The store's record under a lease
-says who issues; an issuer stops by its own clock before its lease can have
-ended in the store, and whoever comes next waits until all it lent has ended.
+Organisations are hashed into shards, and one host issues each shard. Two
+issuers of one shard would lease the same shares twice, so a record in the
+store, bound to a lease, names the issuer. By its own clock an issuer stops
+before its lease can expire in the store, and its successor waits until all
+shares leased before have expired.
 """
 
 import asyncio
@@ -27,38 +29,38 @@
 from jacinthfold.quota.messages import ShareRequest, ShareResponse
 from jacinthfold.quota.pools import Pools
 
-# Parts that organisations are dealt into, so that no host lends all.
+# Shards of organisations, which spread the issuing over several hosts.
 SHARD_COUNT = 16
-# The halves of a cap lie so many parts from each other.
+# Distance between the shards of the two halves of a cap.
 _HALF_OFFSET = SHARD_COUNT // HALVES
 TICK_SECONDS = 0.2
-# Of an issuer that is gone nobody lends for as long as this.
+# For at most this long nobody leases the shares of an issuer that crashed.
 LEASE_SECONDS = 3.0
 RENEW_SECONDS = 0.8
-# Left of the lease for calls that take their time.
+# Safety margin at the end of the lease for slow calls to the store.
 LEASE_MARGIN_SECONDS = 0.2
-# The next host in order waits this much longer before it takes a free part.
+# Each host in rank order waits this much longer before it claims a free shard.
 CLAIM_DELAY_SECONDS = 0.4
 
 
 def shard_of(organisation: str, half: int) -> str:
-    """Return the part of half an organisation's cap, on every host the same."""
+    """Return the shard of one half of a cap; the same on every host."""
     first = xxhash.xxh64_intdigest(organisation.encode())
     return f'{(first + half * _HALF_OFFSET) % SHARD_COUNT:02}'
 
 
 class IssuerDocument(msgspec.Struct):
-    """Hold an issuer's record as it is written."""
+    """Record of a shard's issuer as stored in the metadata store."""
 
     host: str
     # The host's incarnation.
     life: int
-    # The lease under which the record stands.
+    # The store lease to which the record is bound.
     lease: int
 
 
 class _Shard:
-    """Hold who issues a part by the store's word."""
+    """Issuer of a shard according to the store."""
 
     __slots__ = ('free_since', 'issuer', 'incarnation', 'revision')
 
@@ -70,7 +72,7 @@
 
 
 class Issuers:
-    """Know the issuers, and be one."""
+    """Track the issuer of each shard, and issue the shards claimed here."""
 
     def __init__(
         self,
@@ -79,7 +81,7 @@
         pools: Pools,
         clock: Clock,
     ) -> None:
-        """Take the hosts, the store that decides, and the caps."""
+        """Set the known hosts, the metadata store and the pools."""
         self._hosts = hosts
         self._own: HostRecord = hosts.own
         self._store = store
@@ -89,7 +91,7 @@
         self._shards = {
             f'{number:02}': _Shard(now) for number in range(SHARD_COUNT)
         }
-        # By part, while this host issues it: by organisation.
+        # By shard issued here, then by organisation.
         self._issuers: dict[str, dict[str, Issuer]] = {}
         self._started_at: dict[str, float] = {}
         self._lease = 0
@@ -98,7 +100,7 @@
         self._is_leaving = False
 
     def apply_record(self, name: str, record: Record) -> None:
-        """Take who issues a part, by the store's word."""
+        """Apply a store record of a shard; raise UnreadableRecordError."""
         shard = self._shards.get(name)
         if shard is None:
             return
@@ -111,17 +113,17 @@
         if not self._is_own(found):
             self._issuers.pop(name, None)
         elif name not in self._issuers:
-            # The answer to the claim was lost, the claim was not.
+            # The claim succeeded, but its response was lost.
             self._start_issuing(name, now)
 
     def issuer_of(self, organisation: str, half: int) -> str:
-        """Return the name of the host that issues, none if nobody does."""
+        """Return the name of the issuing host, empty if there is none."""
         return self._shards[shard_of(organisation, half)].issuer
 
     def grant_share(
         self, name: str, incarnation: int, request: ShareRequest
     ) -> ShareResponse | None:
-        """Return what is lent, None where this host may not lend."""
+        """Return the leased share, or None where this host may not lease."""
         now = self._clock.boottime()
         shard = shard_of(request.organisation, request.half)
         issuers = self._issuers.get(shard)
@@ -151,11 +153,11 @@
         )
 
     def issued_shards(self) -> list[str]:
-        """Return the parts that this host issues."""
+        """Return the shards that this host issues."""
         return sorted(self._issuers)
 
     async def run(self) -> None:
-        """Keep what is issued here, and take what nobody issues."""
+        """Renew the own lease and claim shards without an issuer."""
         while not self._is_leaving:
             await asyncio.sleep(TICK_SECONDS)
             try:
@@ -169,11 +171,11 @@
                 logs.event('part_taken', reason=str(error))
             except MetadataError as error:
                 logs.warning('issuing_failed', reason=str(error))
-                # Refused calls are priced too; a lease stands three tries.
+                # Rejected calls are charged too; a lease lasts for three tries.
                 await asyncio.sleep(RENEW_SECONDS)
 
     async def leave(self) -> None:
-        """Let others issue at once."""
+        """Stop issuing and end the lease, so that others may claim at once."""
         self._is_leaving = True
         lease = self._lease
         self._drop_lease()
@@ -193,14 +195,14 @@
             self._record_renewal(now)
         claimable = [name for name in self._shards if self._may_claim(name)]
         if claimable:
-            # One at a time: the next look comes soon, and others take some.
+            # One per tick, which leaves some shards to other hosts.
             await self._claim(claimable[0])
 
     def _may_claim(self, name: str) -> bool:
         shard = self._shards[name]
         own = self._own
         if shard.issuer == own.name:
-            # The process before this one on the same host is gone for sure.
+            # The previous process of this host is certainly gone.
             return shard.incarnation < own.incarnation
         if shard.free_since is None:
             return False
@@ -218,7 +220,7 @@
             self._own.name, self._own.incarnation, self._lease
         )
         after = shard.revision if shard.issuer else 0
-        # Whoever wins, the record says so soon; asked again only after that.
+        # The record names the winner soon; retry only after the lease time.
         shard.free_since = now + LEASE_SECONDS
         revision = await self._store.claim(
             name, msgspec.json.encode(document), after=after, lease=self._lease
--- a/jacinthfold/quota/messages.py
+++ b/jacinthfold/quota/messages.py
@@ -1,4 +1,4 @@
-"""Write and read what hosts tell each other about caps."""
+"""Messages between hosts about caps, and their encoding."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class PermitRequest(msgspec.Struct, array_like=True):
-    """Ask a pool to let a request through."""
+    """Request to a pool for a permit."""
 
     number: int
     organisation: str
@@ -14,16 +14,16 @@
 
 
 class PermitResponse(msgspec.Struct, array_like=True):
-    """Answer such a question: None to run, else milliseconds to a return."""
+    """Response of a pool: granted if there is no time to retry after."""
 
     number: int
     retry_after_ms: int | None
-    # Whether the cap is spent, or the pool doesn't know what it may spend.
+    # True if the cap is used up, false if the pool holds no share.
     is_over_cap: bool = False
 
 
 class ShareRequest(msgspec.Struct, array_like=True):
-    """Ask the issuer for a share; say what is held until its answer."""
+    """Request to an issuer for a share, with the share held until then."""
 
     organisation: str
     half: int
@@ -33,18 +33,18 @@
 
 
 class ShareResponse(msgspec.Struct, array_like=True):
-    """Lend a share in answer to a question."""
+    """Response of an issuer with a leased share."""
 
     organisation: str
     half: int
     number: int
     share: float
-    # From the question on.
+    # Duration of the lease, counted from the request.
     seconds: float
 
 
 class PermitRefund(msgspec.Struct, array_like=True):
-    """Give a pool back what a request that did not run was granted."""
+    """Return to a pool the cost of a permit that was not used."""
 
     organisation: str
     cost: int
@@ -56,7 +56,7 @@
 
 
 class QuotaDatagram(msgspec.Struct):
-    """Hold what one host tells another one at a time."""
+    """Batch of messages from one host to another."""
 
     sender: str
     # The sender's incarnation.
@@ -68,7 +68,7 @@
     returned: list[PermitRefund] = []
 
     def add(self, message: Message) -> None:
-        """Add a message of any kind."""
+        """Add a message to the list of its type."""
         if isinstance(message, PermitRequest):
             self.permit_asks.append(message)
         elif isinstance(message, PermitResponse):
@@ -85,12 +85,12 @@
 
 
 def encode(datagram: QuotaDatagram) -> bytes:
-    """Return a datagram's bytes."""
+    """Encode a datagram."""
     return QUOTA_MARK + msgspec.msgpack.encode(datagram)
 
 
 def decode(content: bytes) -> QuotaDatagram:
-    """Return a datagram; raise ValueError."""
+    """Decode a datagram; raise ValueError if it is malformed."""
     try:
         return _decoder.decode(content[len(QUOTA_MARK) :])
     except RecursionError as error:
--- a/jacinthfold/quota/outbox.py
+++ b/jacinthfold/quota/outbox.py
@@ -1,4 +1,4 @@
-"""Send messages about caps, those to one host together."""
+"""Batch messages about caps by receiving host."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,12 +7,12 @@
 from jacinthfold.quota.messages import Message, QuotaDatagram, encode
 
 Endpoint = tuple[str, int]
-# Messages of one datagram: each is some 40 bytes.
+# Each message takes some 40 bytes.
 MAX_DATAGRAM_MESSAGES = 200
 
 
 class Outbox:
-    """Gather messages within one turn of the loop, and send them."""
+    """Collect messages within one turn of the event loop and send them."""
 
     __slots__ = (
         '_counts',
@@ -24,7 +24,7 @@
     )
 
     def __init__(self, own: HostRecord) -> None:
-        """Take who sends."""
+        """Set the sending host."""
         self._name = own.name
         self._incarnation = own.incarnation
         self._pending: dict[Endpoint, QuotaDatagram] = {}
@@ -33,7 +33,7 @@
         self.send: Callable[[bytes, Endpoint], None] = _drop
 
     def put(self, endpoint: Endpoint, message: Message) -> None:
-        """Send a message with the others of this turn."""
+        """Queue a message for this turn of the event loop."""
         datagram = self._pending.get(endpoint)
         if datagram is None:
             datagram = QuotaDatagram(self._name, self._incarnation)
@@ -57,4 +57,4 @@
 
 
 def _drop(_content: bytes, _endpoint: Endpoint) -> None:
-    """Send nothing: there is no socket yet."""
+    """Discard a datagram, since there is no socket yet."""
--- a/jacinthfold/quota/permits.py
+++ b/jacinthfold/quota/permits.py
@@ -1,4 +1,4 @@
-"""Ask for permission before a capped request is sent to a target."""
+"""Acquire permits before capped requests are sent to a target."""
 
 import asyncio
 import random
@@ -19,29 +19,29 @@
 from jacinthfold.quota.pool import MAX_WAIT_SECONDS, CapRejection
 from jacinthfold.quota.pools import Pools
 
-# A pool answers within its own longest wait, or it is gone; then the next host
-# in order is asked.
+# A live pool responds within its own longest wait. After this time the next
+# host in rank order is tried.
 POOL_TIMEOUT_SECONDS = MAX_WAIT_SECONDS + 0.1
 POOLS_TRIED = 2
-# Who keeps which pool is worked out again after this.
+# How long the ranking of hosts for an organisation's pool is cached.
 POOL_ORDER_SECONDS = 0.3
-# After a refusal requests as large are refused without asking, for at most
-# this long: what an organisation presses beyond its cap costs no messages.
+# After a rejection, requests at least as large are rejected locally for at most
+# this long: load beyond the cap costs no messages.
 REJECTION_CACHE_SECONDS = 0.1
-# When no pool answers: hosts that fell silent are known to be by then.
+# Retry delay when no pool responds: by then failed hosts are detected.
 NO_POOL_RETRY_SECONDS = 0.6
 _MS = 1000
 
 
 class Permit:
-    """Hold the permission to run a request once."""
+    """Permission to run a request once."""
 
     __slots__ = ('cost', 'expires_at', 'organisation', 'pool')
 
     def __init__(
         self, organisation: str, cost: int, pool: str, expires_at: float
     ) -> None:
-        """Take what was granted, by whose pool, and until when."""
+        """Set the granted cost, the host of the pool, and the expiry."""
         self.organisation = organisation
         self.cost = cost
         self.pool = pool
@@ -52,24 +52,24 @@
 
 
 class PermitClient:
-    """Get permits from the pools of the region."""
+    """Client of the pools in the own region."""
 
     def __init__(
         self, hosts: HostTable, pools: Pools, outbox: Outbox, clock: Clock
     ) -> None:
-        """Take who may keep pools, and the own ones."""
+        """Set the hosts that may run pools, and the pools of this host."""
         self._hosts = hosts
         self._pools = pools
         self._outbox = outbox
         self._clock = clock
-        # Answers to questions of an earlier life must not match.
+        # A random start, so that responses to a previous process don't match.
         self._last_number = random.getrandbits(48)
         self._pending: dict[int, asyncio.Future[CapRejection | None]] = {}
         self._pool_orders: dict[str, tuple[float, list[str]]] = {}
         self._rejections: dict[str, _CachedRejection] = {}
 
     async def acquire(self, organisation: str, cost: int) -> PermitResult:
-        """Return a permit, or why there is none."""
+        """Return a permit, or the rejection."""
         rejection = self._cached_rejection(organisation, cost)
         if rejection is not None:
             return rejection
@@ -80,11 +80,11 @@
         return result or CapRejection(NO_POOL_RETRY_SECONDS, is_over_cap=False)
 
     def is_valid(self, permit: Permit | None) -> bool:
-        """Tell whether a permit may be used now."""
+        """Return whether a permit may be used now."""
         return permit is not None and self._clock.boottime() < permit.expires_at
 
     def refund(self, permit: Permit | None) -> None:
-        """Return what was granted to a request that did not run."""
+        """Return the cost of a permit whose request did not run."""
         if permit is None or not self.is_valid(permit):
             return
         if permit.pool == self._hosts.own.name:
@@ -97,7 +97,7 @@
             )
 
     def handle_response(self, response: PermitResponse) -> None:
-        """Take a pool's answer; one that comes too late finds nobody."""
+        """Handle a pool's response; a late one is ignored."""
         future = self._pending.get(response.number)
         if future is not None and not future.done():
             future.set_result(_rejection(response))
@@ -147,7 +147,7 @@
         if known is None or now - known[0] > POOL_ORDER_SECONDS:
             own = self._hosts.own
             serving = {one.name for one in self._hosts.serving(own.region)}
-            # A host that starts or leaves asks for itself when it is alone.
+            # A host that starts or leaves uses its own pool when it is alone.
             order = rank(f'pool {organisation}', serving or {own.name})
             known = (now, order[:POOLS_TRIED])
             self._pool_orders[organisation] = known
@@ -173,7 +173,7 @@
 
 
 class _CachedRejection:
-    """Hold a refusal that also holds for what is as large."""
+    """Rejection that also applies to requests at least as large."""
 
     __slots__ = ('cost', 'rejection', 'expires_at')
 
--- a/jacinthfold/quota/pool.py
+++ b/jacinthfold/quota/pool.py
@@ -1,8 +1,8 @@
-"""Let a region's requests of one organisation through, or turn them away.
+"""Admit or reject the requests of one organisation in one region.
 
-Load pattern: an organisation sends six times its usual for eight seconds, and
-a review of 70,000 tokens comes beside questions of 2,000. What fits goes at
-once, what fits a moment later waits for that, and the rest is told when.
+Load pattern: an organisation sends six times its usual load for eight seconds,
+with a request of 70,000 tokens among requests of 2,000. A request is granted if
+it fits, waits if it fits a moment later, and else is told when to retry.
 """
 
 from collections import deque
@@ -14,30 +14,31 @@
 from jacinthfold.quota.share import Share
 from jacinthfold.quota.token_bucket import TokenBucket
 
-# What fits within this waits: less than the trip to a refusal and back.
+# Requests that fit within this time wait: it is shorter than the round trip of
+# a rejected request that comes again.
 MAX_WAIT_SECONDS = 0.15
-# Requests that wait for the first share of a pool; the rest is told to return.
+# Requests that may wait for a pool's first share; further ones are rejected.
 MAX_WAITING_REQUESTS = 100
-# Asked for beyond what was seen, since demand rises before it is measured.
+# Factor on the measured demand, since the measurement lags behind a rise.
 DEMAND_MARGIN = 1.3
 MIN_WANTED_SHARE = 0.02
-# When a return may meet tokens, where the bucket doesn't tell.
+# Retry delay where the bucket can't tell when it will hold enough tokens.
 DEFAULT_RETRY_SECONDS = 0.5
 MAX_RETRY_SECONDS = 4.0
-# The same while there is no share: an issuer's successor takes a second or two.
+# Retry delay without any share: an issuer is replaced in a second or two.
 NO_SHARE_RETRY_SECONDS = 1.0
 _MS = 1000
 
 
 class CapRejection:
-    """Say that a request may not run now."""
+    """Rejection of a request, with the time to retry after."""
 
     __slots__ = ('retry_after_seconds', 'is_over_cap')
 
     def __init__(
         self, retry_after_seconds: float, *, is_over_cap: bool
     ) -> None:
-        """Take when to return, and whether the cap is spent."""
+        """Set the retry delay, and whether the cap is used up."""
         self.retry_after_seconds = retry_after_seconds
         self.is_over_cap = is_over_cap
 
@@ -46,7 +47,7 @@
 
 
 class _WaitingRequest:
-    """Hold a request that waits for tokens."""
+    """Request that waits for tokens."""
 
     __slots__ = ('cost', 'on_decision', 'deadline')
 
@@ -59,16 +60,17 @@
 
 
 class OrganisationPool:
-    """Hold the tokens of one organisation in one region."""
+    """Pool of tokens for one organisation in one region."""
 
     __slots__ = ('_bucket', '_waiting', 'demand', 'cap_rate', 'shares')
 
     def __init__(self, cap_rate: CapRate, now: float) -> None:
-        """Start empty and without a share."""
+        """Start with an empty bucket and no share."""
         self.cap_rate = cap_rate
-        # Of each half of the cap. A pool that was dropped and begins anew must
-        # go on counting, or its issuer takes its questions for late ones: it
-        # asks far fewer than one in a millisecond.
+        # One share of each half of the cap. A pool created again after it was
+        # dropped must continue with higher request numbers, else its issuer
+        # takes its requests for outdated ones. Numbers that start from the
+        # clock in milliseconds do: pools send far less than one in each.
         first_number = int(now * _MS)
         self.shares = tuple(Share(first_number) for _ in range(HALVES))
         self.demand = Demand(now)
@@ -77,7 +79,7 @@
 
     @property
     def has_waiting(self) -> bool:
-        """Tell whether requests wait."""
+        """Return whether any request waits for tokens."""
         return bool(self._waiting)
 
     def acquire(
@@ -85,7 +87,7 @@
     ) -> None:
         """Decide on a request, now or within the longest wait.
 
-        Called with None when it may run.
+        The callback receives None when the request may run.
         """
         self.demand.record(cost, now)
         self._expire_shares(now)
@@ -102,7 +104,7 @@
         on_decision(self._rejection(seconds, now))
 
     def serve_waiting(self, now: float) -> None:
-        """Let those through whose tokens have come, and end long waits."""
+        """Grant waiting requests in order, and reject those past their wait."""
         self._expire_shares(now)
         while self._waiting:
             first = self._waiting[0]
@@ -116,7 +118,7 @@
             )
 
     def refund(self, cost: float, now: float) -> None:
-        """Take back tokens whose request did not run."""
+        """Return the tokens of a request that did not run."""
         self._expire_shares(now)
         self._bucket.refund(cost, now)
 
@@ -125,7 +127,7 @@
         return sum(one.held(now) for one in self.shares) / HALVES
 
     def handle_response(self, response: ShareResponse, now: float) -> None:
-        """Take the share of a half that its issuer lends."""
+        """Apply the share of a half that its issuer leased."""
         self._expire_shares(now)
         share = self.shares[response.half]
         if share.apply_response(
@@ -134,22 +136,23 @@
             self._set_rate(now)
 
     def wanted(self, now: float) -> float:
-        """Return the share of each half that the demand of late asks for."""
+        """Return the share of each half that the recent demand needs."""
         rate = self.demand.per_second(now) * DEMAND_MARGIN
         wanted = rate / self.cap_rate.per_second + MIN_WANTED_SHARE
         if self.cap_rate.burst > 0:
             wanted += self.demand.largest_cost(now) / self.cap_rate.burst
-        # An issuer that doesn't answer leaves its part to the other one.
+        # If one issuer doesn't respond, the other half covers all the demand.
         lending = sum(one.held(now) > 0 for one in self.shares)
         return wanted * HALVES / max(1, lending)
 
     def _may_wait_for_share(self, now: float) -> bool:
-        # The first request of a while asks for the share itself.
+        # The first request after a pause makes the pool request a share.
         is_short = len(self._waiting) < MAX_WAITING_REQUESTS
         return is_short and self.held(now) <= 0
 
     def _expire_shares(self, now: float) -> None:
-        # What is left goes with a share: who holds it next fills anew.
+        # Tokens above the remaining burst expire with a share, since the next
+        # holder of the share refills them.
         for share in sorted(self.shares, key=_expiry):
             if self._bucket.refilled_at < share.expires_at <= now:
                 self._set_rate(share.expires_at)
--- a/jacinthfold/quota/pools.py
+++ b/jacinthfold/quota/pools.py
@@ -1,4 +1,4 @@
-"""Keep the pools of this host and renew their shares."""
+"""Manage the pools of this host and renew their shares."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,28 +15,28 @@
 )
 
 TICK_SECONDS = 0.02
-# A pool that is asked asks the issuer this often, one that rests less.
+# How often active and idle pools request their shares again.
 RENEW_SECONDS = 0.25
 IDLE_RENEW_SECONDS = 0.8
-# Without any share it is asked again after the trip to another region.
+# Retry delay without any share: the round trip to an issuer elsewhere.
 SHARE_RETRY_SECONDS = 0.13
 IDLE_AFTER_SECONDS = 1.5
-# A pool that nobody asked for this long is dropped; its share ends by itself.
+# A pool without requests for this long is dropped; its share just expires.
 DROP_AFTER_SECONDS = 10.0
 MAX_POOLS = 20000
-# Told to requests of an organisation for which there is no room in the table.
+# Retry delay for an organisation without a pool when the table is full.
 POOLS_FULL_RETRY_SECONDS = 1.0
-# One line in this time says that nobody lends.
+# At most one log line about missing issuers in this time.
 NO_ISSUER_LOG_SECONDS = 1.0
 
 RequestShare = Callable[[ShareRequest], bool]
 
 
 class Pools:
-    """Hold a pool for each organisation that is asked for here."""
+    """Pools of the organisations whose permits are requested here."""
 
     def __init__(self, window: Window, clock: Clock) -> None:
-        """Take how work is counted."""
+        """Set the window over which usage is counted."""
         self._window = window
         # Whether any organisation has a cap.
         self.has_caps = False
@@ -44,7 +44,7 @@
         self._pools: dict[str, OrganisationPool] = {}
         self._routes: RouteTable | None = None
         self._no_issuer_logged_at = float('-inf')
-        # Sends a question on its way; false while no issuer is known.
+        # Sends a request to the issuer; returns false while none is known.
         self.request_share: RequestShare = lambda request: False
 
     def __len__(self) -> int:
@@ -52,7 +52,7 @@
         return len(self._pools)
 
     def update_routes(self, routes: RouteTable) -> None:
-        """Take newer caps."""
+        """Apply the caps of a newer configuration."""
         self._routes = routes
         self.has_caps = routes.organisations.has_caps
         for name, pool in list(self._pools.items()):
@@ -63,7 +63,7 @@
                 pool.cap_rate = cap_rate
 
     def cap_rate_of(self, name: str) -> CapRate | None:
-        """Return the pace of a capped organisation."""
+        """Return an organisation's rate and burst, None without a cap."""
         if self._routes is None:
             return None
         found = self._routes.organisations.find_by_name(name)
@@ -74,7 +74,7 @@
     def acquire(
         self, name: str, cost: float, on_decision: PermitCallback
     ) -> None:
-        """Have a pool decide on a request."""
+        """Have the organisation's pool decide on a request."""
         now = self._clock.boottime()
         pool = self._pools.get(name)
         if pool is None:
@@ -89,13 +89,13 @@
             self._renew(name, pool, now, SHARE_RETRY_SECONDS)
 
     def refund(self, name: str, cost: float) -> None:
-        """Take back what a request that did not run was granted."""
+        """Return the tokens of a request that did not run."""
         pool = self._pools.get(name)
         if pool is not None:
             pool.refund(cost, self._clock.boottime())
 
     def handle_response(self, response: ShareResponse) -> None:
-        """Take a share that an issuer lends."""
+        """Apply a leased share and grant waiting requests that fit."""
         pool = self._pools.get(response.organisation)
         if pool is not None:
             now = self._clock.boottime()
@@ -103,7 +103,7 @@
             pool.serve_waiting(now)
 
     async def run(self) -> None:
-        """Serve those who wait and renew shares, until cancelled."""
+        """Serve waiting requests and renew shares until cancelled."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
             now = self._clock.boottime()
@@ -111,7 +111,7 @@
                 self._maintain(name, pool, now)
 
     def held(self) -> dict[str, float]:
-        """Return the shares that are held here."""
+        """Return the shares of caps held here, by organisation."""
         now = self._clock.boottime()
         return {
             name: round(pool.held(now), 3) for name, pool in self._pools.items()
--- a/jacinthfold/quota/share.py
+++ b/jacinthfold/quota/share.py
@@ -1,11 +1,11 @@
-"""Hold a share of a cap that is lent for a few seconds."""
+"""Share of a cap that is leased to a pool for a short time."""
 
 
 class Share:
-    """Hold what a pool may spend, and the question that it waits on.
+    """Leased share of a pool and its latest request to the issuer.
 
-    The issuer counts what a question says is held as held until an answer to a
-    later question: so only the answer to the latest question changes the share.
+    The issuer counts the share reported in a request as held until it responds
+    to a later one, so only a response to the latest request changes the share.
     """
 
     __slots__ = (
@@ -17,7 +17,7 @@
     )
 
     def __init__(self, first_number: int = 0) -> None:
-        """Start with nothing; questions are numbered from a number on."""
+        """Start without a share; requests are numbered from a number on."""
         self._held = 0.0
         self._expires_at = float('-inf')
         self._request_number = first_number
@@ -30,16 +30,16 @@
 
     @property
     def expires_at(self) -> float:
-        """Return when the share ends."""
+        """Return when the share expires."""
         return self._expires_at
 
     @property
     def requested_at(self) -> float:
-        """Return when the latest question was sent."""
+        """Return when the latest request was sent."""
         return self._requested_at
 
     def start_request(self, now: float) -> int:
-        """Begin a question; return its number."""
+        """Start a request to the issuer; return its number."""
         self._request_number += 1
         self._requested_at = now
         return self._request_number
@@ -47,10 +47,11 @@
     def apply_response(
         self, number: int, share: float, seconds: float, now: float
     ) -> bool:
-        """Take an answer; tell whether it changed what is held."""
+        """Apply a response; return whether it changed the share."""
         if number != self._request_number or now < self._requested_at:
             return False
-        # From the question on: the issuer counts from when it came.
+        # Counted from when the request was sent, so the share expires here
+        # before it does at the issuer, which counts from the arrival.
         self._held = share
         self._expires_at = self._requested_at + seconds
         self.responded_at = now
--- a/jacinthfold/quota/token_bucket.py
+++ b/jacinthfold/quota/token_bucket.py
@@ -1,33 +1,33 @@
-"""Fill and empty one pool's tokens."""
+"""Token bucket of one pool."""
 
 
 class TokenBucket:
-    """Hold tokens that a share of a cap fills."""
+    """Token bucket refilled at the rate of a leased share."""
 
     __slots__ = ('burst', 'refilled_at', 'per_second', 'tokens')
 
     def __init__(self, now: float) -> None:
-        """Start empty: what was spent before is not known."""
+        """Start empty, since earlier spending is not known."""
         self.tokens = 0.0
         self.per_second = 0.0
         self.burst = 0.0
         self.refilled_at = now
 
     def set_rate(self, per_second: float, burst: float, now: float) -> None:
-        """Take a new rate and burst from now on."""
+        """Change rate and burst from now on."""
         self.refill(now)
         self.per_second = per_second
         self.burst = burst
         self.tokens = min(self.tokens, burst)
 
     def refill(self, now: float) -> None:
-        """Add what came since the last time."""
+        """Add the tokens earned since the last refill."""
         earned = max(0.0, now - self.refilled_at) * self.per_second
         self.tokens = min(self.burst, self.tokens + earned)
         self.refilled_at = now
 
     def try_consume(self, cost: float, now: float) -> bool:
-        """Take tokens if they are there."""
+        """Consume tokens if enough are available; return whether they were."""
         self.refill(now)
         if self.tokens < cost:
             return False
@@ -35,12 +35,12 @@
         return True
 
     def refund(self, cost: float, now: float) -> None:
-        """Take back tokens whose request did not run."""
+        """Return the tokens of a request that did not run."""
         self.refill(now)
         self.tokens = min(self.burst, self.tokens + cost)
 
     def seconds_until(self, cost: float, now: float) -> float:
-        """Return when so many tokens are there, if nobody takes others."""
+        """Return the time until the tokens are available; infinite if never."""
         self.refill(now)
         missing = cost - self.tokens
         if missing <= 0:
--- a/tools/ablations/organisations.py
+++ b/tools/ablations/organisations.py
@@ -129,8 +129,8 @@
         [
             (
                 'quota/issuer.py',
-                'if now < self._recovered_at:\n            # Others',
-                'if False:\n            # Others',
+                'if now < self._recovered_at:\n            # Other pools',
+                'if False:\n            # Other pools',
             )
         ],
         QUOTA + 'test_new_issuer_lends_nothing_that_may_be_held',
