--- a/jacinthfold/organisations/model.py
+++ b/jacinthfold/organisations/model.py
@@ -96,5 +96,5 @@
             holder = self._by_digest.setdefault(digest, organisation)
             if holder is not organisation:
                 raise OrganisationError(
-                    f'{holder.name!r} and {organisation.name!r} have the same key'
+                    f'{holder.name!r} and {organisation.name!r} share a key'
                 )
--- a/jacinthfold/quarantine/__init__.py
+++ b/jacinthfold/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Keep requests under which targets end from ending more of them."""
+"""Quarantine requests that crash targets."""
--- a/jacinthfold/quarantine/crash_detector.py
+++ b/jacinthfold/quarantine/crash_detector.py
@@ -1,8 +1,8 @@
-"""See targets end, and which requests were there when they did.
+"""Detect crashes of targets and the requests that were present.
 
-A connection that breaks says little: a link may have been reset, or one
-answer spoiled. A target has ended when nothing listens at its address any
-more, or when its record is gone though it was not leaving.
+A broken connection alone proves no crash: a link may have been reset, or one
+response malformed. A target has crashed when nothing listens at its address any
+more, or when its record is gone though the target was not leaving.
 """
 
 import asyncio
@@ -25,32 +25,32 @@
 from jacinthfold.transport.channel import connect
 from jacinthfold.transport.errors import ConnectFailedError
 
-# After the first broken connection: the others of the same end break within a
-# few milliseconds.
+# Wait after the first broken connection: the others of the same crash break
+# within a few milliseconds.
 SETTLE_SECONDS = 0.05
-# A process that has ended refuses at once; one more look catches those whose
-# listening socket outlived the connections.
+# A dead process refuses connections at once. A second probe after this time
+# finds those whose listening socket closed after the connections.
 RECHECK_DELAY_SECONDS = 0.5
 PROBE_TIMEOUT_SECONDS = 0.4
-# Records of ended targets lapse after three of their heartbeats, and are heard
-# of a second later.
+# Records of crashed targets expire after three missed heartbeats of theirs, and
+# hosts learn of it a second later.
 RECORD_EXPIRY_SECONDS = 8.0
-# Targets of one data centre whose connections break this close to each other
-# lost a rack or a link; two that each run the same request may do so too.
+# Targets of one data centre whose connections break within this time have lost
+# a rack or a link, unless each of them was running the same request.
 SIMULTANEOUS_SECONDS = 0.05
-# Sends to a cold target beyond its pace, in one second, that it may die of.
+# Multiple of a cold target's permitted rate that may crash it by overload.
 OVERRUN_FACTOR = 1.5
 SEND_WINDOW_SECONDS = 1.0
 MAX_LINES_PER_CRASH = 16
 
 
 class CrashDetector:
-    """Follow what is at targets and report their ends."""
+    """Track the requests at targets and report crashes."""
 
     def __init__(
         self, targets: TargetTable, fingerprints: Fingerprints, clock: Clock
     ) -> None:
-        """Take the targets and what requests are known by."""
+        """Set the targets and the fingerprints of requests."""
         self._targets = targets
         self._fingerprints = fingerprints
         self._clock = clock
@@ -65,19 +65,19 @@
     def start_attempt(
         self, request: Request, target: Target, withdraw: Callable[[], None]
     ) -> Attempt:
-        """Take that a request leaves for a target."""
+        """Record that a request is sent to a target."""
         incarnation = self._incarnations.setdefault(
             target.record.life, TargetIncarnation()
         )
         if incarnation.has_crashed:
-            # It listens again under the same name, and another end may come.
+            # The target listens again under the same name and may crash again.
             incarnation = TargetIncarnation()
             self._incarnations[target.record.life] = incarnation
         attempt = Attempt(request, target, incarnation, withdraw)
         now = self._clock.monotonic()
         service = self._targets.service(target.record.service)
-        # Plain services say nothing until they answer, and take calls up as
-        # long as they have slots.
+        # Plain services send nothing before their response, and start requests
+        # at once while they have free slots.
         is_free = target.load(now).requests <= target.record.slots
         attempt.is_started = is_free and not service.is_engine
         incarnation.attempts.append(attempt)
@@ -92,9 +92,9 @@
     def record_finish(
         self, attempt: Attempt, first_event_at: float, *, is_broken: bool
     ) -> None:
-        """Take that an attempt is over, and when its first event came.
+        """Record the end of an attempt and the time of its first event.
 
-        The time is 0 where none came; broken means by the other side.
+        The time is 0 without an event; broken means by the other side.
         """
         attempt.first_event_at = first_event_at or None
         target = attempt.target
@@ -111,7 +111,7 @@
             self._drop(target, incarnation)
 
     def attempts(self) -> list[Attempt]:
-        """Return all requests that are at targets."""
+        """Return all attempts in flight."""
         return [
             one
             for incarnation in self._incarnations.values()
@@ -119,7 +119,7 @@
         ]
 
     def forget(self, target: Target) -> None:
-        """Drop a life that is gone."""
+        """Drop the state of an incarnation that is gone."""
         incarnation = self._incarnations.get(target.record.life)
         if incarnation is None or incarnation.attempts:
             return
@@ -145,7 +145,7 @@
     ) -> None:
         target = attempt.target
         if incarnation.has_crashed:
-            # Noticed late: the others of this end were told already.
+            # Noticed late, after the other requests were reported.
             if incarnation.cause is CrashCause.UNKNOWN:
                 self._report(target, [attempt], CrashCause.UNKNOWN)
             return
@@ -154,7 +154,7 @@
             return
         incarnation.broken_at = self._clock.monotonic()
         if target.last_resort_until is not None:
-            # It was leaving: its end is planned, and nobody's fault.
+            # The target was leaving: its end is planned and no crash.
             incarnation.broken.clear()
             return
         task = asyncio.get_running_loop().create_task(
@@ -172,7 +172,7 @@
     async def _confirm_crash(
         self, target: Target, incarnation: TargetIncarnation
     ) -> None:
-        """Find out whether a target whose connections broke has ended."""
+        """Report a crash if a target with broken connections is gone."""
         is_listening = await self._is_listening_after(target, SETTLE_SECONDS)
         if is_listening is not False:
             is_listening = await self._is_listening_after(
@@ -181,7 +181,8 @@
         if is_listening is False:
             self._record_crash(target, incarnation)
             return
-        # Nobody answers, neither yes nor no: its record will tell.
+        # The address neither accepts nor refuses, so wait for the removal of
+        # the target's record.
         limit = incarnation.broken_at + RECORD_EXPIRY_SECONDS
         while is_listening is None and self._clock.monotonic() < limit:
             await asyncio.sleep(PROBE_TIMEOUT_SECONDS)
@@ -206,7 +207,7 @@
     def _find_cause(
         self, target: Target, incarnation: TargetIncarnation
     ) -> tuple[CrashCause, list[Attempt]]:
-        """Return the cause, and the requests that may have been it."""
+        """Return the cause, and the attempts that may have caused it."""
         service = self._targets.service(target.record.service)
         pace = service.cold_requests_per_second * OVERRUN_FACTOR
         since = incarnation.broken_at - SEND_WINDOW_SECONDS
@@ -229,7 +230,7 @@
     def _broken_simultaneously(
         self, target: Target, incarnation: TargetIncarnation
     ) -> list[Attempt]:
-        """Return what was at other targets that broke at the same moment."""
+        """Return attempts that broke at other targets at the same time."""
         return [
             attempt
             for other in self._incarnations.values()
@@ -252,7 +253,7 @@
             )
             for attempt in attempts
         ]
-        # Noted in this order: what a likelier one explains is not refused.
+        # Likeliest culprit first: what it explains does not refuse the others.
         present.sort(key=_likeliest_first)
         crash = TargetCrash(target, cause, present)
         logs.warning(
@@ -281,7 +282,7 @@
 
 
 async def _is_listening(target: Target) -> bool | None:
-    """Tell whether something listens at a target, None if nobody says."""
+    """Return whether a target's port is open, None if it is unknown."""
     try:
         channel = await connect(target.record.address, PROBE_TIMEOUT_SECONDS)
     except ConnectFailedError as error:
@@ -291,4 +292,4 @@
 
 
 def _ignore_crash(_: TargetCrash) -> None:
-    """Hear of an end and do nothing."""
+    """Ignore the crash."""
--- a/jacinthfold/quarantine/crash_model.py
+++ b/jacinthfold/quarantine/crash_model.py
@@ -1,4 +1,4 @@
-"""Hold what is at targets, and what was there when one ended."""
+"""Requests in flight at targets, and those present at a crash."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -9,7 +9,7 @@
 
 
 class CrashCause(Enum):
-    """Say of what a target ended, as far as this host can tell."""
+    """Cause of a crash, as far as this host can tell."""
 
     UNKNOWN = 'unknown'
     SEVERAL_TOGETHER = 'several_together'
@@ -17,27 +17,27 @@
 
 
 class TargetIncarnation:
-    """Hold what is at one life of a target, and how it broke."""
+    """Attempts at one incarnation of a target, in flight and broken."""
 
     __slots__ = ('attempts', 'broken_at', 'broken', 'cause', 'send_times')
 
     def __init__(self) -> None:
-        """Start with nothing there."""
+        """Start without attempts."""
         self.attempts: list['Attempt'] = []
         self.send_times: list[float] = []
         self.broken: list['Attempt'] = []
         self.broken_at = 0.0
-        # Of what it has ended, None while it has not.
+        # None unless it has crashed.
         self.cause: CrashCause | None = None
 
     @property
     def has_crashed(self) -> bool:
-        """Tell whether this life is known to have ended."""
+        """Return whether this incarnation is known to have crashed."""
         return self.cause is not None
 
 
 class Attempt:
-    """Hold one request that is at a target."""
+    """Request that was sent to a target."""
 
     __slots__ = (
         'started_at',
@@ -56,18 +56,18 @@
         incarnation: TargetIncarnation,
         withdraw: Callable[[], None],
     ) -> None:
-        """Take the request, where it is and how to take it back."""
+        """Set the request, its target and the call that withdraws it."""
         self.request = request
         self.target = target
         self.incarnation = incarnation
         self.withdraw = withdraw
         self.is_started = False
-        # By the clock of this host, None before.
+        # By the monotonic clock of this host; None until it happens.
         self.started_at: float | None = None
         self.first_event_at: float | None = None
 
     def record_activity(self, clock: Clock) -> None:
-        """Take that something of the answer came."""
+        """Record that data of the response arrived."""
         now = clock.monotonic()
         self.target.heard_at = now
         self.is_started = True
@@ -76,14 +76,14 @@
 
 
 class PresentRequest:
-    """Hold a request that was at a target when it ended."""
+    """Request that was present at a crash."""
 
     __slots__ = ('fingerprint', 'has_events', 'is_started', 'request_id')
 
     def __init__(
         self, attempt: Attempt, fingerprint: str, *, is_started: bool
     ) -> None:
-        """Take the attempt, and what its request is known by."""
+        """Set the attempt and the fingerprint of its request."""
         self.fingerprint = fingerprint
         self.request_id = attempt.request.facts.request_id
         self.is_started = is_started
@@ -91,14 +91,14 @@
 
 
 class TargetCrash:
-    """Hold one target's end as this host saw it."""
+    """Crash of a target as this host observed it."""
 
     __slots__ = ('cause', 'incarnation_id', 'present', 'service')
 
     def __init__(
         self, target: Target, cause: CrashCause, present: list[PresentRequest]
     ) -> None:
-        """Take which life ended, of what, and what was there."""
+        """Set the crashed incarnation, the cause and the requests present."""
         self.incarnation_id = target.record.life
         self.service = target.record.service
         self.cause = cause
--- a/jacinthfold/quarantine/crashes.py
+++ b/jacinthfold/quarantine/crashes.py
@@ -1,40 +1,40 @@
-"""Hold the ends of targets by the requests that were there."""
+"""Crashes of targets, grouped by the requests that were present."""
 
 import msgspec
 
-# The weight of an end at which it had begun, and of one at which it may have
-# waited still: twice as many of those are asked for.
+# Weight of a crash during which the request was running, and of one during
+# which it may still have been queued: twice as many of the latter are needed.
 RUNNING_WEIGHT, QUEUED_WEIGHT = 2, 1
-# Entries without a new end are dropped after this; those of one end, which are
-# nearly all of requests that merely ran beside, and served ones sooner: while
-# there is any entry, each request is hashed (30 us for 30 kB, worked out).
+# Entries without a new crash are dropped after this. Served requests and those
+# with one crash, nearly all of which were only bystanders, are dropped sooner:
+# while any entry exists, every request is hashed (about 30 us for 30 kB).
 RETENTION_SECONDS = 3600.0
 SINGLE_CRASH_RETENTION_SECONDS = 600.0
 SERVED_RETENTION_SECONDS = 60.0
 
 
 class Crash(msgspec.Struct, array_like=True, frozen=True):
-    """Hold the end of one life of a target, seen with a request there."""
+    """Crash of one incarnation of a target while a request was present."""
 
     incarnation_id: str
     weight: int
-    # Whether the target had begun and made nothing yet.
+    # Whether the request was running and had no output yet.
     had_no_output: bool
-    # Unix milliseconds of the host that saw it.
+    # Unix time in milliseconds, by the clock of the host that observed it.
     at_ms: int
 
 
 class SuspectReport(msgspec.Struct, array_like=True):
-    """Hold what hosts tell each other of a request."""
+    """Report on a suspect request, exchanged between hosts."""
 
     fingerprint: str
-    # When it was last answered by a target, 0 for never.
+    # When a target last completed it, 0 for never.
     served_at_ms: int
     crashes: list[Crash]
 
 
 class Suspect:
-    """Hold one request under which targets ended."""
+    """Request that was present when targets crashed."""
 
     __slots__ = (
         'changed_at',
@@ -46,30 +46,30 @@
     )
 
     def __init__(self, now: float) -> None:
-        """Start without ends."""
+        """Start without crashes."""
         self.crashes: dict[str, Crash] = {}
         self.served_at_ms = 0
-        # Whether this host itself saw one of the ends.
+        # Whether this host itself observed one of the crashes.
         self.is_observed_here = False
-        # By the clock of this host: of the last end, of the last change, and
-        # of the last one that the own region was not told by others.
+        # By the clock of this host: the last crash, the last change, and the
+        # last change that this host has to report within its own region.
         self.last_crash_at = now
         self.changed_at = now
         self.region_changed_at = float('-inf')
 
     @property
     def weight(self) -> int:
-        """Return the weight of all ends."""
+        """Return the total weight of the crashes."""
         return sum(crash.weight for crash in self.crashes.values())
 
     @property
     def no_output_count(self) -> int:
-        """Return at how many ends the target had just begun with it."""
+        """Return the number of crashes before the request had any output."""
         return sum(crash.had_no_output for crash in self.crashes.values())
 
     @property
     def retention_seconds(self) -> float:
-        """Return for how long it is remembered after its last end."""
+        """Return how long the entry is kept after its last crash."""
         if not self.crashes:
             return SERVED_RETENTION_SECONDS
         return (
@@ -79,11 +79,11 @@
         )
 
     def report_changed_at(self, *, is_near: bool) -> float:
-        """Return when what the own or other regions are told changed."""
+        """Return the time of the last change to report, near or far."""
         return self.region_changed_at if is_near else self.changed_at
 
     def to_report(self, fingerprint: str) -> SuspectReport:
-        """Return what is told of it."""
+        """Return the report for other hosts."""
         return SuspectReport(
             fingerprint, self.served_at_ms, list(self.crashes.values())
         )
--- a/jacinthfold/quarantine/fingerprint_key.py
+++ b/jacinthfold/quarantine/fingerprint_key.py
@@ -1,4 +1,4 @@
-"""Agree with all hosts on the key of requests' fingerprints."""
+"""Create the fingerprint key that all hosts share."""
 
 import asyncio
 import random
@@ -14,25 +14,26 @@
 from jacinthfold.quarantine.fingerprints import KEY_BYTES, Fingerprints
 
 KEY_NAME = 'key'
-# Many hosts start together; the first ones to look make the key.
+# Random delay, since many hosts start at once and one of them creates the key.
 CHECK_DELAY_SECONDS = (0.2, 0.8)
 
 
 class FingerprintKeyCreator:
-    """Have the store hold a key, made by whoever is first."""
+    """Create the key in the metadata store unless another host did."""
 
     def __init__(
         self, store: MetadataStore, fingerprints: Fingerprints
     ) -> None:
-        """Take where the key is kept and who needs it."""
+        """Set the store of the key and the fingerprints that use it."""
         self._store = store
         self._fingerprints = fingerprints
         # Whether this host has read the store or a neighbour's records, and
-        # watches the store: others hear of the key from one that does.
+        # watches the store. Hosts that don't watch receive the key from one
+        # that does.
         self.may_create: Callable[[], bool] = lambda: True
 
     async def run(self) -> None:
-        """Make the key unless there is one."""
+        """Create the key unless there is one."""
         while not self._fingerprints.has_key:
             await asyncio.sleep(random.uniform(*CHECK_DELAY_SECONDS))
             if self.may_create() and not self._fingerprints.has_key:
@@ -43,7 +44,7 @@
         try:
             await self._store.create_quarantine(KEY_NAME, key)
         except MetadataConflictError:
-            # Another host was first, and its key is on its way here.
+            # Another host created a key, which will arrive here.
             return
         except MetadataError as error:
             logs.warning('fingerprint_key_not_made', reason=str(error))
--- a/jacinthfold/quarantine/fingerprints.py
+++ b/jacinthfold/quarantine/fingerprints.py
@@ -1,42 +1,43 @@
-"""Tell requests apart by what they ask for, not by their identifiers."""
+"""Identify requests by their content instead of their request ids."""
 
 import hashlib
 
 from jacinthfold import logs
 from jacinthfold.request.messages import Request
 
-# 16 bytes: of a thousand million requests two differ and look the same with a
-# chance of one in 10^20. Fewer bytes would let a caller search for a collision.
+# 16 bytes: the chance of any collision among 10^9 requests is one in 10^20.
+# With fewer bytes a caller could search for a collision.
 FINGERPRINT_BYTES = 16
 KEY_BYTES = 32
 _LENGTH_BYTES = 8
 
 
 class Fingerprints:
-    """Make the fingerprints that all hosts of a deployment agree on."""
+    """Compute fingerprints that are equal on all hosts of a deployment."""
 
-    # Keyed: they stand in logs, in heartbeats and in the store, and without a
-    # key a short body could be found from one by trying.
+    # Fingerprints appear in logs, heartbeats and the store. They are keyed,
+    # since otherwise a short body could be found from its fingerprint by brute
+    # force.
 
     __slots__ = ('_key',)
 
     def __init__(self) -> None:
-        """Start without the key, which the store holds."""
+        """Start without the key, which comes from the metadata store."""
         self._key = b''
 
     @property
     def has_key(self) -> bool:
-        """Tell whether fingerprints can be made yet."""
+        """Return whether the key is known."""
         return bool(self._key)
 
     def set_key(self, key: bytes) -> None:
-        """Take the key that the deployment's hosts share."""
+        """Set the key that all hosts of the deployment share."""
         self._key = key
         logs.event('fingerprints_keyed')
 
     def of(self, request: Request) -> str:
-        """Return a request's fingerprint, nothing before the key is known."""
-        # The caller belongs to it: nobody may have another one's request
+        """Return a request's fingerprint, empty until the key is known."""
+        # Includes the caller, so that nobody can have another caller's request
         # refused by sending the same body.
         facts = request.facts
         return self.of_parts(
@@ -48,7 +49,7 @@
         )
 
     def of_parts(self, *parts: bytes) -> str:
-        """Return the fingerprint of what tells requests apart."""
+        """Return the fingerprint of the parts that identify a request."""
         if not self._key:
             return ''
         digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES, key=self._key)
--- a/jacinthfold/quarantine/quarantine.py
+++ b/jacinthfold/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""Refuse requests under which targets end, at every host that hears of it."""
+"""Refuse requests that crash targets, on every host."""
 
 from jacinthfold.catalogue.metadata import MetadataStore
 from jacinthfold.clock import Clock
@@ -28,23 +28,23 @@
 
 
 class Refusal:
-    """Hold why a request is refused, and for how long."""
+    """Refusal of a request, with the time that it still lasts."""
 
     __slots__ = ('fingerprint', 'seconds')
 
     def __init__(self, fingerprint: str, seconds: float) -> None:
-        """Take what the request is known by and how long is left."""
+        """Set the fingerprint and the seconds left."""
         self.fingerprint = fingerprint
         self.seconds = seconds
 
 
 class Quarantine:
-    """Put together who sees targets end, and what is known of it."""
+    """Combine crash detection, suspect requests and their storage."""
 
     def __init__(
         self, targets: TargetTable, store: MetadataStore, clock: Clock
     ) -> None:
-        """Take the targets and where records are kept."""
+        """Set the targets and the store of the records."""
         self._clock = clock
         self._fingerprints = Fingerprints()
         self.suspects = Suspects(clock)
@@ -56,8 +56,8 @@
         self.writer = StoreWriter(store, clock)
 
     def refusal(self, request: Request) -> Refusal | None:
-        """Return why a request is refused, None if it isn't."""
-        # Most of the time there is no suspect, and no body need be hashed.
+        """Return the refusal of a request, None if it may be sent."""
+        # Mostly there are no suspects, and no body has to be hashed.
         if not self.suspects:
             return None
         fingerprint = self._fingerprints.of(request)
@@ -67,8 +67,9 @@
         return Refusal(fingerprint, seconds)
 
     def record_served(self, request: Request) -> None:
-        """Take that a target answered a request and outlived it."""
-        # Popular requests are at many ends by chance, and served in between.
+        """Record that a target completed a request without crashing."""
+        # Popular requests are present at many crashes by chance, and are served
+        # in between.
         if not self.suspects:
             return
         fingerprint = self._fingerprints.of(request)
@@ -81,9 +82,9 @@
             self.writer.put_report(suspect.to_report(fingerprint))
 
     def apply_record(self, name: str, content: bytes | None) -> None:
-        """Take a record of the store; raise UnreadableRecordError."""
-        # Records go with their lease, also while the store is away: what they
-        # said stays known here until it is too old.
+        """Apply a record of the store; raise UnreadableRecordError."""
+        # Records expire with their lease, also during a store outage. What they
+        # said is kept here until it is too old.
         if content is None:
             return
         if name == KEY_NAME:
@@ -107,8 +108,8 @@
         self.suspects.record_crash(one.fingerprint, crash)
 
     def _store_observed(self, fingerprint: str, suspect: Suspect) -> None:
-        # Those that saw an end write, not all that heard of it: of 195 hosts
-        # a few.
+        # Only hosts that observed a crash write it: a few of 195, instead of
+        # all that received a report.
         if (
             suspect.is_observed_here
             and len(suspect.crashes) >= MIN_STORED_CRASHES
@@ -116,8 +117,8 @@
             self.writer.put_report(suspect.to_report(fingerprint))
 
     def _withdraw(self, fingerprint: str) -> None:
-        """Take copies back that targets have not begun with."""
-        # Queued at other targets, they would end those as well.
+        """Withdraw copies that no target has started yet."""
+        # Copies queued at other targets would crash those as well.
         for attempt in self.crash_detector.attempts():
             if attempt.is_started:
                 continue
--- a/jacinthfold/quarantine/store_writer.py
+++ b/jacinthfold/quarantine/store_writer.py
@@ -1,8 +1,8 @@
-"""Keep in the store what must outlive the hosts that saw it.
+"""Store crashes so that they outlive the hosts that observed them.
 
-All hosts may be replaced at the same moment, and regions that can't reach each
-other may reach the store. One record an end, each under its own name: writes
-that come twice, late or in any order leave the same records behind.
+All hosts may be replaced at once, and regions that can't reach each other may
+still reach the metadata store. Each crash has a record under its own name, so
+that repeated, late or reordered writes leave the same records.
 """
 
 import asyncio
@@ -21,19 +21,19 @@
 from jacinthfold.clock import Clock
 from jacinthfold.quarantine.crashes import Crash, SuspectReport
 
-# Requests that were at one end are many: all that ran beside. At two ends
-# there are few, and the third is the last one that may be seen.
+# Many requests are present at one crash, since all bystanders are, but few at
+# two, and after the third one the request is refused.
 MIN_STORED_CRASHES = 2
-# Records go by themselves, ten minutes after this host last got a lease; a
-# lease serves for half of that.
+# Records expire with their lease, ten minutes after it was granted. A lease is
+# reused for half of that time.
 LEASE_SECONDS = 600.0
 LEASE_REUSE_SECONDS = 300.0
-# Ends come together; one call writes many.
+# Crashes are observed in groups; one call writes many records.
 BATCH_DELAY_SECONDS = 0.05
 RECORDS_PER_CALL = 32
 RETRY_SECONDS = (0.3, 1.0)
-# What waits for the store while it is away; the oldest go first, neighbours
-# know them.
+# Records that wait during a store outage. The oldest are dropped first, since
+# neighbours know them.
 MAX_WAITING_RECORDS = 512
 
 _end_decoder = msgspec.json.Decoder(Crash)
@@ -41,10 +41,10 @@
 
 
 class StoreWriter:
-    """Write ends to the store, some of them at a time."""
+    """Write crashes to the metadata store in batches."""
 
     def __init__(self, store: MetadataStore, clock: Clock) -> None:
-        """Take where to write."""
+        """Set the store to write to."""
         self._store = store
         self._clock = clock
         self._waiting: OrderedDict[str, bytes] = OrderedDict()
@@ -54,11 +54,11 @@
 
     @property
     def waiting_count(self) -> int:
-        """Return how many records wait to be written."""
+        """Return the number of records that wait to be written."""
         return len(self._waiting)
 
     def put_report(self, report: SuspectReport) -> None:
-        """Have a request's ends written, and when it was served."""
+        """Queue a request's crashes and the time when it was last served."""
         if report.served_at_ms:
             content = msgspec.json.encode(report.served_at_ms)
             self._put(report.fingerprint, content)
@@ -105,7 +105,7 @@
 
 
 def read_record(name: str, content: bytes) -> SuspectReport:
-    """Return what a record says; raise UnreadableRecordError."""
+    """Decode a record; raise UnreadableRecordError."""
     fingerprint, _, incarnation_id = name.partition('/')
     try:
         if incarnation_id:
--- a/jacinthfold/quarantine/suspects.py
+++ b/jacinthfold/quarantine/suspects.py
@@ -1,10 +1,10 @@
-"""Hold the requests under which targets ended, and say which are refused.
+"""Track requests that were present at crashes, and decide on refusals.
 
-Load pattern: a caller sends one request again and again, through any host, and
-each target that begins to run it ends. Counted by one host, or until a host is
-replaced, only a part of the ends is seen; so ends are a set that only grows
-between hosts, by fingerprint and life of a target: told twice, in any order or
-over the store they add up to the same.
+Load pattern: a caller repeats one request through any host, and each target
+that starts it crashes. A single host sees only some of the crashes and loses
+them when it is replaced. Hosts therefore merge their crashes as a set, keyed by
+fingerprint and target incarnation: reports may be repeated, reordered or read
+from the store, and all hosts arrive at the same set.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,57 +19,55 @@
     SuspectReport,
 )
 
-# Ends at which a target had begun with a request before it is refused. One
-# and two are met by requests that merely ran beside; callers' own retries and
-# ours bring few to three targets that end.
+# A request is refused after it was running at this many crashes. Bystanders
+# reach one or two; retries by callers and by hosts take few of them to three.
 REFUSAL_CRASHES = 3
 REFUSAL_WEIGHT = REFUSAL_CRASHES * RUNNING_WEIGHT
-# A request is refused for this long after the last end. It is then let through
-# again, since engines are mended by new versions; one more end refuses it anew.
+# How long a request is refused after its last crash. It is then allowed again,
+# since a new engine version may handle it; one more crash refuses it again.
 REFUSAL_SECONDS = 600.0
-# How often that is looked at.
 EXPIRY_CHECK_SECONDS = 5.0
-# 4,096 entries of three ends are some 2 MB. Those with the least weight go
-# first, of these the oldest: a flood of bodies that each ended one target
-# can't push out one that ended two.
+# 4,096 entries of three crashes take some 2 MB. Entries with the least weight
+# are dropped first, the oldest of these before others: a flood of bodies with
+# one crash each can't displace a request with two.
 MAX_SUSPECTS = 4096
-# Lives kept of one request: far more than it is refused after.
+# Crashes kept per request: far more than it takes to refuse it.
 MAX_CRASHES_PER_SUSPECT = 32
-# What changed is told for this long: ten heartbeats to the own region, three
-# or more to others.
+# How long a change is reported: in ten heartbeats to the own region and in at
+# least three to others.
 REPORT_PERIOD_SECONDS = 2.0
-# Entries of one heartbeat or digest: 64 of two ends are some 3 kB packed.
+# Per heartbeat or digest: 64 entries of two crashes take some 3 kB encoded.
 MAX_CHANGED_REPORTS = 64
-# Refused ones that are told again and again, for hosts that were away.
+# Refused requests that are reported repeatedly, for hosts that missed them.
 MAX_REPEATED_REPORTS = 16
-# Clocks of hosts may differ by this; times beyond it are somebody's fault, and
-# would clear a request of ends to come.
+# Largest tolerated difference of the hosts' clocks. Later times are limited to
+# it, since they would clear a request of crashes yet to come.
 CLOCK_SKEW_MS = 60_000
 _MS = 1000
 
 
 class Suspects:
-    """Keep suspects by fingerprint, as all hosts' words add up."""
+    """Suspect requests by fingerprint, merged from the reports of all hosts."""
 
     def __init__(
         self, clock: Clock, report_period_seconds: float = REPORT_PERIOD_SECONDS
     ) -> None:
-        """Take for how long changes are told; start with none."""
+        """Set for how long changes are reported; start empty."""
         self._clock = clock
         self._report_period_seconds = report_period_seconds
         self._suspects: dict[str, Suspect] = {}
-        # Those whose weight is enough, before other explanations.
+        # Suspects with enough weight to be refused, unless others explain it.
         self._over_threshold: set[str] = set()
         self._expired_at = clock.monotonic()
         self.on_refused: Callable[[str], None] = _ignore_refusal
         self.on_crashes: Callable[[str, Suspect], None] = _ignore_crashes
 
     def __len__(self) -> int:
-        """Return how many are known."""
+        """Return the number of suspects."""
         return len(self._suspects)
 
     def get(self, fingerprint: str) -> Suspect | None:
-        """Return what is known of a request."""
+        """Return the entry of a request, None if it is no suspect."""
         return self._suspects.get(fingerprint)
 
     def refused_seconds(self, fingerprint: str) -> float | None:
@@ -83,7 +81,7 @@
         return left
 
     def refused(self) -> dict[str, int]:
-        """Return the refused ones and how many targets ended under each."""
+        """Return the refused fingerprints with their number of crashes."""
         return {
             name: len(self._suspects[name].crashes)
             for name in sorted(self._over_threshold)
@@ -91,13 +89,13 @@
         }
 
     def record_crash(self, fingerprint: str, crash: Crash) -> None:
-        """Take an end that this host saw itself."""
+        """Record a crash that this host observed itself."""
         if fingerprint:
             self._find_or_create(fingerprint).is_observed_here = True
             self._add_crashes(fingerprint, [crash], is_own=True)
 
     def record_served(self, fingerprint: str) -> None:
-        """Take that a target answered a suspect and outlived it."""
+        """Record that a target completed a request without crashing."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             self._clear(fingerprint, suspect, self._now_ms(), is_own=True)
@@ -105,7 +103,7 @@
     def merge_reports(
         self, reports: Iterable[SuspectReport], *, is_near: bool
     ) -> None:
-        """Take what another host, or the store, tells."""
+        """Merge reports of another host or of the metadata store."""
         for report in reports:
             if report.served_at_ms:
                 suspect = self._find_or_create(report.fingerprint)
@@ -125,9 +123,10 @@
     def reports_to_send(
         self, *, is_near: bool, is_full: bool
     ) -> list[SuspectReport]:
-        """Return what is told now: what changed, and at times the refused.
+        """Return the recent changes, and if full some refused requests.
 
-        The own region hears near news from those that it concerns.
+        Within the own region only hosts that observed a change, or received it
+        from elsewhere, report it.
         """
         since = self._clock.monotonic() - self._report_period_seconds
         changed = {
@@ -144,7 +143,7 @@
         return [self._suspects[name].to_report(name) for name in chosen]
 
     def expire_if_due(self) -> None:
-        """Drop what is old, if it was not looked at for some time."""
+        """Drop old entries if the last check is long enough ago."""
         if self._clock.monotonic() - self._expired_at > EXPIRY_CHECK_SECONDS:
             self._expire()
 
@@ -200,7 +199,8 @@
         known = suspect.crashes.get(crash.incarnation_id)
         if known is None:
             return len(suspect.crashes) < MAX_CRASHES_PER_SUSPECT
-        # Copies of one request at the same target: one had begun.
+        # Of several copies of one request at the same target, the one that was
+        # running counts.
         return (crash.weight, crash.had_no_output) > (
             known.weight,
             known.had_no_output,
@@ -247,10 +247,10 @@
             self.on_refused(fingerprint)
 
     def _is_explained(self, fingerprint: str, suspect: Suspect) -> bool:
-        """Tell whether likelier requests explain too many of the ends."""
-        # A long stream that is resumed, or tried again, beside the one that
-        # ends targets may be at three ends as well. The likelier one of two
-        # is that with which the targets had just begun more often.
+        """Return whether likelier culprits explain too many of the crashes."""
+        # A long stream that is resumed or retried beside the culprit may be
+        # present at three crashes as well. The likelier culprit is the request
+        # that more often had no output yet.
         explained = {
             incarnation_id
             for name in self._over_threshold
@@ -270,8 +270,8 @@
 
 
 def _ignore_crashes(_fingerprint: str, _suspect: Suspect) -> None:
-    """Hear of ends and do nothing."""
+    """Ignore the crashes."""
 
 
 def _ignore_refusal(_: str) -> None:
-    """Hear of a refusal and do nothing."""
+    """Ignore the refusal."""
