--- a/tests/gateway/test_caps.py
+++ b/tests/gateway/test_caps.py
@@ -20,11 +20,11 @@
 # Of 200 tokens a call: as many as a cap of 400 a second and a burst of 800 let
 # run in a window of eight seconds with an excess of a tenth.
 WINDOW_SECONDS = 8
-MOST_CALLS = (400 * WINDOW_SECONDS + 800) * 1.1 / 200
+MAX_CALLS = (400 * WINDOW_SECONDS + 800) * 1.1 / 200
 
 
 @pytest.fixture
-def desk(deployment):
+def capped(deployment):
     """Give a target behind two hosts; one organisation has a cap."""
     deployment.put_routes(
         route('/order/'),
@@ -52,7 +52,7 @@
     return ask_with(deployment, name, CAPPED).status == 200
 
 
-def test_pressing_organisation_runs_no_more_than_its_cap_over_all_hosts(desk):
+def test_cap_limits_an_organisation_over_all_hosts(capped):
     """An organisation asks far beyond its cap, at both hosts in turn.
 
     What is over is refused at once with a time to come back, and has not run;
@@ -61,80 +61,80 @@
     statuses = []
     began_at = time.monotonic()
     for number in range(80):
-        answer = ask_with(desk, ('north-a', 'north-b')[number % 2], CAPPED)
+        answer = ask_with(capped, ('north-a', 'north-b')[number % 2], CAPPED)
         statuses.append(answer.status)
         if answer.status == 429:
             assert float(answer.headers['retry-after']) > 0
         pause(0.02)
         if number % 10 == 0:
-            assert ask_with(desk, 'north-a', FREE).status == 200
+            assert ask_with(capped, 'north-a', FREE).status == 200
     ran = [
         one
-        for one in desk.targets['i-1'].executed
+        for one in capped.targets['i-1'].executed
         if one.headers['tenant'] == 'capped'
     ]
     assert set(statuses) == {200, 429}
     assert statuses.count(200) == len(ran)
     windows = 1 + math.ceil((time.monotonic() - began_at) / WINDOW_SECONDS)
-    assert len(ran) <= windows * MOST_CALLS
+    assert len(ran) <= windows * MAX_CALLS
 
 
-def test_request_that_a_target_turned_down_costs_nothing(desk):
+def test_request_rejected_by_a_target_costs_nothing(capped):
     """Targets refuse for a while, and an organisation goes on asking.
 
     Its bucket holds one call. Each is turned down by a target and has not run,
     so its tokens come back before the next one: none is over the cap.
     """
-    desk.targets['i-1'].script = refuse
+    capped.targets['i-1'].script = refuse
     pause(1.5)
     statuses = []
     for _ in range(15):
-        statuses.append(ask_with(desk, 'north-a', CAPPED).status)
+        statuses.append(ask_with(capped, 'north-a', CAPPED).status)
         pause(0.02)
     assert set(statuses) == {503}
 
 
-def test_other_host_keeps_the_pool_when_its_keeper_is_killed(desk):
+def test_other_host_takes_over_the_pool_of_a_killed_host(capped):
     """The host that keeps an organisation's pool, or lends to it, is gone.
 
     Its leases end, and the other host lends and keeps all.
     """
-    desk.hosts['north-a'].kill()
-    desk.store.lapse('north-a')
+    capped.hosts['north-a'].kill()
+    capped.store.lapse('north-a')
     wait_until(
-        lambda: is_served(desk, 'north-b'),
+        lambda: is_served(capped, 'north-b'),
         'the other host lets requests through',
         20,
     )
 
 
-def test_hosts_that_all_start_again_serve_and_keep_the_cap(desk):
+def test_hosts_that_all_restart_serve_and_enforce_the_cap(capped):
     """All hosts lose power: nobody knows what was spent before."""
     for name in ('north-a', 'north-b'):
-        desk.hosts[name].kill()
+        capped.hosts[name].kill()
     for name in ('north-a', 'north-b'):
-        desk.hosts[name].start()
+        capped.hosts[name].start()
     for name in ('north-a', 'north-b'):
-        desk.wait_ready(name)
-        wait_until(lambda name=name: is_served(desk, name), 'it is lent', 20)
+        capped.wait_ready(name)
+        wait_until(lambda name=name: is_served(capped, name), 'it is lent', 20)
 
 
-def test_state_and_metrics_tell_of_shares(desk):
-    host = desk.hosts['north-a']
-    ask_with(desk, 'north-a', CAPPED)
+def test_state_and_metrics_show_shares(capped):
+    host = capped.hosts['north-a']
+    ask_with(capped, 'north-a', CAPPED)
     assert b'cap_shares' in call(host.control, '/state').body
     assert b'cap_shares_held' in call(host.metrics, '/metrics').body
 
 
-def test_cap_that_was_lifted_binds_no_more(desk):
+def test_removed_cap_no_longer_applies(capped):
     """The operator takes the cap away while its organisation presses."""
-    while ask_with(desk, 'north-a', CAPPED).status == 200:
+    while ask_with(capped, 'north-a', CAPPED).status == 200:
         pass
-    version = desk.put_routes(
+    version = capped.put_routes(
         route('/order/'), tenants=[tenant('capped', CAPPED)]
     )
-    desk.wait_log('north-a', f'version={version}')
+    capped.wait_log('north-a', f'version={version}')
     pause(0.1)
     assert all(
-        ask_with(desk, 'north-a', CAPPED).status == 200 for _ in range(20)
+        ask_with(capped, 'north-a', CAPPED).status == 200 for _ in range(20)
     )
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -27,7 +27,7 @@
 
 
 @pytest.fixture
-def desk(deployment):
+def keyed(deployment):
     """Give one target behind a host; two organisations hold keys."""
     deployment.put_routes(
         route('/order/'),
@@ -49,29 +49,29 @@
     return deployment.ask('north-a', path, headers=headers)
 
 
-def test_target_is_told_who_calls_and_never_the_key(desk):
+def test_target_receives_the_organisation_and_never_the_key(keyed):
     """A caller sends its key, and says that it is somebody else.
 
     The target must run the request for the key's holder, and must not see the
     key: a target's log would hold it.
     """
-    answer = ask_with(desk, bearer(KEY), ('Tenant', 'south'))
+    answer = ask_with(keyed, bearer(KEY), ('Tenant', 'south'))
     assert answer.status == 200
-    headers = ran(desk)[0].headers
+    headers = ran(keyed)[0].headers
     assert headers['tenant'] == 'north'
     assert 'authorization' not in headers
 
 
 @pytest.mark.parametrize('key', ['second-key', KEY])
-def test_each_key_of_an_organisation_serves(desk, key):
-    assert ask_with(desk, bearer(key)).status == 200
-    assert ran(desk)[0].headers['tenant'] == 'north'
+def test_each_key_of_an_organisation_serves(keyed, key):
+    assert ask_with(keyed, bearer(key)).status == 200
+    assert ran(keyed)[0].headers['tenant'] == 'north'
 
 
-def test_open_route_is_served_without_key_and_tells_nobody(desk):
-    answer = ask_with(desk, bearer(KEY), ('Tenant', 'south'), path='/open/x')
+def test_public_route_is_served_without_key_or_organisation(keyed):
+    answer = ask_with(keyed, bearer(KEY), ('Tenant', 'south'), path='/open/x')
     assert answer.status == 200
-    headers = ran(desk)[0].headers
+    headers = ran(keyed)[0].headers
     assert 'tenant' not in headers
     assert 'authorization' not in headers
 
@@ -94,44 +94,44 @@
     ],
     ids=str,
 )
-def test_nobody_is_let_in_without_one_known_key(desk, headers):
+def test_request_without_exactly_one_known_key_is_denied(keyed, headers):
     """A caller sends no key, an unknown one, two, or what is no key.
 
     It gets a final answer that says so, nothing runs, and the host goes on.
     """
-    answer = ask_with(desk, *headers)
+    answer = ask_with(keyed, *headers)
     assert answer.status == 401
     assert answer.headers['www-authenticate'] == 'Bearer'
-    assert not ran(desk)
-    assert ask_with(desk, bearer(KEY)).status == 200
+    assert not ran(keyed)
+    assert ask_with(keyed, bearer(KEY)).status == 200
 
 
-def test_key_moves_to_another_organisation(desk):
+def test_key_moves_to_another_organisation(keyed):
     """The operator gives a key to somebody else, and takes one away.
 
     From the new version on requests count for the new holder, and those with
     the other key are denied: on a connection that was open all the while too.
     """
-    connection = Connection(desk.hosts['north-a'].callers)
+    connection = Connection(keyed.hosts['north-a'].callers)
     connection.send('/order/1', headers=[bearer(KEY)], request_id='before')
     assert connection.receive().status == 200
-    version = desk.put_routes(
+    version = keyed.put_routes(
         route('/order/'),
         tenants=[tenant('north'), tenant('south', OTHER, KEY)],
     )
-    desk.wait_log('north-a', f'version={version}')
+    keyed.wait_log('north-a', f'version={version}')
     connection.send('/order/2', headers=[bearer(KEY)], request_id='after')
     assert connection.receive().status == 200
-    assert ran(desk)[-1].headers['tenant'] == 'south'
+    assert ran(keyed)[-1].headers['tenant'] == 'south'
     connection.send('/order/3', headers=[bearer('second-key')])
     assert connection.receive().status == 401
     connection.close()
 
 
-def test_key_stands_in_no_log_and_no_dump(desk):
-    ask_with(desk, bearer(KEY))
-    ask_with(desk, bearer('nobody-holds-this'))
-    host = desk.hosts['north-a']
+def test_key_appears_in_no_log_and_no_dump(keyed):
+    ask_with(keyed, bearer(KEY))
+    ask_with(keyed, bearer('nobody-holds-this'))
+    host = keyed.hosts['north-a']
     shown = host.log() + ask(host.control, '/state').body.decode()
     shown += ask(host.metrics, '/metrics').body.decode()
     assert KEY not in shown
@@ -148,18 +148,18 @@
     ],
     ids=repr,
 )
-def test_key_in_a_malformed_line_stands_in_no_log(desk, line):
+def test_key_in_a_malformed_line_appears_in_no_log(keyed, line):
     """A caller's library writes the header with a space before the colon.
 
     The parser's error quotes the line, and the host logged the error: the
     key stood in the log of each host that the caller tried.
     """
-    host = desk.hosts['north-a']
+    host = keyed.hosts['north-a']
     with socket.create_connection(host.callers, timeout=10) as sent:
         head = f'GET /order/x HTTP/1.1\r\nHost: api.example\r\n{line}\r\n\r\n'
         sent.sendall(head.encode('latin-1'))
         assert sent.recv(1000).startswith(b'HTTP/1.1 400')
-    desk.wait_log('north-a', 'event=request_malformed')
+    keyed.wait_log('north-a', 'event=request_malformed')
     assert KEY not in host.log()
 
 
@@ -219,14 +219,14 @@
         ('a', 'c', ''),
     ],
 )
-def test_homes_of_route_and_organisation_both_bind(
+def test_home_regions_of_route_and_organisation_both_apply(
     route_homes, organisation_homes, expected
 ):
     request = request_of(route_homes, organisation_homes)
     assert [one for one in 'abc' if request.allows(one)] == list(expected)
 
 
-def test_organisations_priority_goes_before_the_routes():
+def test_priority_of_the_organisation_overrides_the_route():
     request = request_of('', '')
     request.route.priority = 0
     assert request.is_urgent
@@ -266,7 +266,7 @@
     ],
     ids=str,
 )
-def test_configuration_nobody_can_follow_changes_nothing(tenants):
+def test_invalid_configuration_changes_nothing(tenants):
     """An operator declares a cap, a key or a name that makes no sense.
 
     The version in force stays, and reading says what is wrong.
@@ -295,7 +295,7 @@
     assert table.organisations.find_by_name('south').cap is None
 
 
-def test_digest_is_of_the_one_bearer_key():
+def test_digest_needs_exactly_one_bearer_key():
     assert bearer_digest([b'bearer  key ']) == digest_of(b'key')
     assert bearer_digest([b'BEARER key']) == digest_of(b'key')
     assert bearer_digest([b'Bearer key', b'Bearer key']) is None
--- a/tests/gateway/test_quarantine.py
+++ b/tests/gateway/test_quarantine.py
@@ -14,8 +14,8 @@
 HOSTS = {'north-a': 'north-1', 'north-b': 'north-1', 'south-a': 'south-1'}
 # What is promised: so long after three targets have ended under a request,
 # it is sent to at most so many more.
-NEWS_SECONDS = 5.0
-MORE_SENDS = 3
+PROPAGATION_SECONDS = 5.0
+MAX_MORE_SENDS = 3
 # Callers come back this often; more would find the same.
 REPEATS = 9
 
@@ -53,22 +53,22 @@
     return deployment.ask(host, path, 'POST', body=body, **options)
 
 
-def send_until_ended(engines, count, path='/ask/x', body=FATAL, hosts=HOSTS):
+def send_until_crashed(engines, count, path='/ask/x', body=FATAL, hosts=HOSTS):
     """Send a request to hosts in turn until it has ended so many engines."""
     turn = itertools.cycle(hosts)
 
-    def has_ended():
+    def has_crashed():
         if len(engines.ended) < count:
             send(engines.deployment, next(turn), body, path)
         return len(engines.ended) >= count
 
-    wait_until(has_ended, f'{count} engines have ended')
+    wait_until(has_crashed, f'{count} engines have ended')
 
 
 @pytest.mark.parametrize(
     'path', ['/ask/x', '/review/x', '/quote/x', '/order/x']
 )
-def test_request_that_ends_targets_is_not_sent_to_more(engines, path):
+def test_request_that_crashes_targets_is_not_sent_to_more(engines, path):
     """One caller's request ended every engine that began to run it.
 
     The caller sent it again as often as it failed, each time through another
@@ -84,23 +84,23 @@
     that ended within sixteen seconds, seen by five hosts of two regions, of
     which none saw more than three.
     """
-    send_until_ended(engines, 3, path)
-    pause(NEWS_SECONDS)
+    send_until_crashed(engines, 3, path)
+    pause(PROPAGATION_SECONDS)
     arrived = len(engines.arrived)
     for host in itertools.islice(itertools.cycle(HOSTS), REPEATS):
         send(engines.deployment, host, FATAL, path)
-    assert len(engines.arrived) - arrived <= MORE_SENDS
+    assert len(engines.arrived) - arrived <= MAX_MORE_SENDS
     for host in HOSTS:
         answer = send(engines.deployment, host, b'another', path)
         assert answer.status == 200
 
 
-def test_refusal_says_that_it_has_not_run_and_when_to_come_back(engines):
+def test_refusal_says_not_run_and_when_to_retry(engines):
     """The caller is told at once, and not to come back for minutes.
 
     A failure without a word would invite the next retry.
     """
-    send_until_ended(engines, 3)
+    send_until_crashed(engines, 3)
     wait_refused(engines)
     arrived = len(engines.arrived)
     for host in HOSTS:
@@ -114,7 +114,7 @@
 
 def test_another_callers_request_with_the_same_body_is_sent(engines):
     """Who proves to be somebody else is not refused for this caller."""
-    send_until_ended(engines, 3)
+    send_until_crashed(engines, 3)
     wait_refused(engines)
     engines.fatal.clear()
     answer = send(
@@ -127,7 +127,7 @@
     assert send(engines.deployment, 'north-a', FATAL).status == 429
 
 
-def test_requests_beside_the_one_that_ends_engines_are_served(engines):
+def test_requests_beside_the_culprit_are_served(engines):
     """Others run at the engines that end, lose their answers, and come again.
 
     How many ends each is at depends on chance; none is ever refused for it.
@@ -147,7 +147,7 @@
     for thread in crowd:
         thread.start()
     try:
-        send_until_ended(engines, 3, '/review/x')
+        send_until_crashed(engines, 3, '/review/x')
         wait_refused(engines, '/review/x')
     finally:
         is_over.set()
@@ -164,17 +164,17 @@
         )
 
 
-def test_hosts_that_all_restart_read_it_from_the_store(engines):
+def test_hosts_that_all_restart_read_crashes_from_the_store(engines):
     """Every host is killed at once, and none has a disk.
 
     What three ended targets have taught would be learned anew from three
     more. The store holds the ends; the first host to read them refuses.
     """
     deployment = engines.deployment
-    send_until_ended(engines, 3)
+    send_until_crashed(engines, 3)
     wait_refused(engines)
     wait_until(
-        lambda: stored_ends(deployment) >= 3, 'three ends are in the store'
+        lambda: stored_crashes(deployment) >= 3, 'three ends are in the store'
     )
     for name in HOSTS:
         deployment.hosts[name].kill()
@@ -187,7 +187,7 @@
     assert len(engines.arrived) == arrived
 
 
-def test_hosts_replaced_in_turn_tell_each_other_without_the_store(engines):
+def test_hosts_replaced_in_turn_learn_without_the_store(engines):
     """The store is away from before the first end on; hosts die in turn.
 
     Each that starts again has its routes from a neighbour, and what is
@@ -195,14 +195,14 @@
     """
     deployment = engines.deployment
     deployment.store.is_down = True
-    send_until_ended(engines, 3)
+    send_until_crashed(engines, 3)
     wait_refused(engines)
     for name in HOSTS:
         deployment.hosts[name].kill()
         deployment.hosts[name].start()
         deployment.wait_ready(name)
         wait_refused(engines, hosts=[name])
-    assert stored_ends(deployment) == 0
+    assert stored_crashes(deployment) == 0
 
 
 def test_frozen_host_refuses_after_it_wakes(engines):
@@ -210,14 +210,14 @@
     deployment = engines.deployment
     awake = ['north-b', 'south-a']
     deployment.hosts['north-a'].signal(signal.SIGSTOP)
-    send_until_ended(engines, 3, hosts=awake)
+    send_until_crashed(engines, 3, hosts=awake)
     wait_refused(engines, hosts=awake)
-    pause(NEWS_SECONDS / 2)
+    pause(PROPAGATION_SECONDS / 2)
     deployment.hosts['north-a'].signal(signal.SIGCONT)
     wait_refused(engines, hosts=['north-a'])
 
 
-def test_copy_that_waits_elsewhere_is_taken_back(engines):
+def test_copy_queued_elsewhere_is_withdrawn(engines):
     """A copy is queued at an engine of the other region when the third ends.
 
     Left there it would end that one too. It comes back at once as unknown:
@@ -238,7 +238,7 @@
         lambda: any(deployment.targets[name].executed for name in south),
         'the copy waits in the south',
     )
-    send_until_ended(engines, 3, hosts=['north-a', 'north-b'])
+    send_until_crashed(engines, 3, hosts=['north-a', 'north-b'])
     waiting.join()
     assert answers[0].status == 502
     assert any(deployment.targets[name].left for name in south)
@@ -259,7 +259,7 @@
     )
 
 
-def stored_ends(deployment):
+def stored_crashes(deployment):
     keys = list(deployment.store.items)
     return sum(
         key.startswith('quarantine/') and key.count('/') == 2 for key in keys
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -39,25 +39,25 @@
     return owed * (1 + window.excess) + window.slack
 
 
-def answer(half, number, share, seconds=SHARE_LEASE_SECONDS):
+def share_response(half, number, share, seconds=SHARE_LEASE_SECONDS):
     return ShareResponse('o', half, number, share, seconds)
 
 
-class Holder:
+class SimulatedPool:
     """Hold one pool of a simulated region; its process may start again."""
 
     def __init__(self, name, cap_rate, now):
         self.name = name
         self.cap_rate = cap_rate
-        self.life = 0
+        self.incarnation = 0
         self.granted = []
         self.start(now)
 
     def start(self, now):
-        self.life += 1
+        self.incarnation += 1
         self.pool = OrganisationPool(self.cap_rate, now)
 
-    def want(self, cost, now):
+    def acquire(self, cost, now):
         def decide(after):
             if after is None:
                 self.granted.append((now, cost))
@@ -65,7 +65,7 @@
         self.pool.acquire(cost, now, decide)
 
 
-class World:
+class Simulation:
     """Play holders and issuers over a network that delays, loses, doubles."""
 
     def __init__(self, seed, per_second=36000, regions=3):
@@ -73,64 +73,66 @@
         self.now = 100.0
         self.cap_rate = CapRate(cap(per_second), WINDOW)
         self.holders = [
-            Holder(f'pool-{number}', self.cap_rate, self.now)
+            SimulatedPool(f'pool-{number}', self.cap_rate, self.now)
             for number in range(regions)
         ]
         self.issuers = [
             Issuer(self.now, self.cap_rate.recovery_share)
             for _ in range(HALVES)
         ]
-        self.mail = []
+        self.in_flight = []
         self.most_held = 0.0
-        self.cut = set()
+        self.partitioned = set()
 
     def held(self):
         return sum(one.pool.held(self.now) for one in self.holders)
 
-    def post(self, deliver, name):
+    def send(self, deliver, name):
         copies = self.random.choice((0, 1, 1, 1, 1, 1, 2))
-        for _ in range(copies if name not in self.cut else 0):
+        for _ in range(copies if name not in self.partitioned else 0):
             delay = self.random.choice((0.001, 0.06, 0.06, 0.2, 1.5))
-            self.mail.append((self.now + delay, self.random.random(), deliver))
+            self.in_flight.append(
+                (self.now + delay, self.random.random(), deliver)
+            )
 
-    def ask(self, holder):
+    def request_shares(self, holder):
         for half in range(HALVES):
-            self.ask_half(holder, half)
+            self.request_share(holder, half)
 
-    def ask_half(self, holder, half):
+    def request_share(self, holder, half):
         pool = holder.pool
         share = pool.shares[half]
         held = share.held(self.now)
         number = share.start_request(self.now)
         wanted = pool.wanted(self.now)
-        life, issuer = holder.life, self.issuers[half]
+        incarnation, issuer = holder.incarnation, self.issuers[half]
 
-        def arrive():
+        def deliver_request():
             # An issuer that was replaced answers nothing any more.
             if issuer is not self.issuers[half]:
                 return
-            loan = issuer.grant(
+            lease = issuer.grant(
                 holder.name,
-                life,
+                incarnation,
                 number,
                 held=held,
                 wanted=wanted,
                 now=self.now,
             )
-            if loan is not None:
-                self.post(lambda: come_back(loan), holder.name)
+            if lease is not None:
+                self.send(lambda: deliver_response(lease), holder.name)
 
-        def come_back(loan):
-            if holder.life == life:
-                made = answer(half, number, loan.share, loan.seconds)
+        def deliver_response(lease):
+            if holder.incarnation == incarnation:
+                made = share_response(half, number, lease.share, lease.seconds)
                 pool.handle_response(made, self.now)
 
-        self.post(arrive, holder.name)
+        self.send(deliver_request, holder.name)
 
     def step(self, seconds=0.05):
         self.now += seconds
-        due = sorted(one for one in self.mail if one[0] <= self.now)
-        self.mail = [one for one in self.mail if one[0] > self.now]
+        due = sorted(one for one in self.in_flight if one[0] <= self.now)
+        self.in_flight = [one for one in self.in_flight if one[0] > self.now]
         for _, _, deliver in due:
             deliver()
         for holder in self.holders:
@@ -148,7 +150,7 @@
 
 @pytest.mark.parametrize('per_second', CAPS)
 @pytest.mark.parametrize('seed', range(40))
-def test_no_window_holds_more_than_the_rules_allow(seed, per_second):
+def test_no_window_exceeds_its_limit(seed, per_second):
     """Three regions press far beyond the cap for half a minute.
 
     Meanwhile messages are late, lost and doubled, regions are cut off from the
@@ -156,22 +158,22 @@
     that knows nothing. Shares that were lent twice would show as a window that
     holds more than cap, excess and slack.
     """
-    world = World(seed, per_second)
+    simulation = Simulation(seed, per_second)
     for tick in range(700):
-        for holder in world.holders:
+        for holder in simulation.holders:
             if tick % 5 == 0:
-                world.ask(holder)
+                simulation.request_shares(holder)
             for _ in range(3):
-                cost = world.random.choice((200, 2400, 12000, 70000))
-                holder.want(cost, world.now)
-            if world.random.random() < 0.004:
-                holder.start(world.now)
-            if world.random.random() < 0.01:
-                world.cut ^= {holder.name}
-        if world.random.random() < 0.008:
-            world.replace_issuer(world.random.randrange(HALVES))
-        world.step()
-    granted = sorted(pair for one in world.holders for pair in one.granted)
+                cost = simulation.random.choice((200, 2400, 12000, 70000))
+                holder.acquire(cost, simulation.now)
+            if simulation.random.random() < 0.004:
+                holder.start(simulation.now)
+            if simulation.random.random() < 0.01:
+                simulation.partitioned ^= {holder.name}
+        if simulation.random.random() < 0.008:
+            simulation.replace_issuer(simulation.random.randrange(HALVES))
+        simulation.step()
+    granted = sorted(pair for one in simulation.holders for pair in one.granted)
     assert granted
     # Permits may be used a moment after they were granted.
     span = WINDOW.seconds + PERMIT_LIFETIME_SECONDS
@@ -181,86 +183,90 @@
 
 
 @pytest.mark.parametrize('seed', range(20))
-def test_shares_never_exceed_the_whole_while_one_issuer_knows_all(seed):
+def test_shares_never_exceed_the_cap_after_recovery(seed):
     """Regions ask, lose answers, and are cut; the issuer lives on.
 
     After its first seconds no more than one whole may be held at any moment,
     whatever was lost on the way.
     """
-    world = World(seed)
+    simulation = Simulation(seed)
     most = 0.0
     for tick in range(600):
-        for holder in world.holders:
+        for holder in simulation.holders:
             if tick % 5 == 0:
-                world.ask(holder)
-            holder.want(world.random.choice((0, 2400, 30000)), world.now)
-            if world.random.random() < 0.01:
-                world.cut ^= {holder.name}
-        world.step()
-        if world.now > 100 + 2 * SHARE_LEASE_SECONDS + 1:
-            most = max(most, world.held())
+                simulation.request_shares(holder)
+            holder.acquire(
+                simulation.random.choice((0, 2400, 30000)), simulation.now
+            )
+            if simulation.random.random() < 0.01:
+                simulation.partitioned ^= {holder.name}
+        simulation.step()
+        if simulation.now > 100 + 2 * SHARE_LEASE_SECONDS + 1:
+            most = max(most, simulation.held())
     assert 0.5 < most <= 1 + 1e-9
 
 
-def calm_world(demands, seconds=12, seed=3):
+def simulate_steady_demand(demands, seconds=12, seed=3):
     """Play regions whose demand is given in requests of 2,400 a second."""
-    world = World(seed)
-    world.random.choice = lambda options: options[2]
+    simulation = Simulation(seed)
+    simulation.random.choice = lambda options: options[2]
     asked = refused = 0
     for tick in range(int(seconds / 0.05)):
-        for holder, per_second in zip(world.holders, demands, strict=True):
+        for holder, per_second in zip(simulation.holders, demands, strict=True):
             if tick % 5 == 0:
-                world.ask(holder)
+                simulation.request_shares(holder)
             due = int((tick + 1) * 0.05 * per_second) - int(
                 tick * 0.05 * per_second
             )
             for _ in range(due):
-                if world.now > 100 + SHARE_LEASE_SECONDS + 1:
+                if simulation.now > 100 + SHARE_LEASE_SECONDS + 1:
                     asked += 1
                     before = len(holder.granted)
-                    holder.want(2400, world.now)
+                    holder.acquire(2400, simulation.now)
                     # A short wait is no refusal.
                     if len(holder.granted) == before:
                         refused += not holder.pool.has_waiting
                 else:
-                    holder.want(2400, world.now)
-        world.step()
+                    holder.acquire(2400, simulation.now)
+        simulation.step()
     return asked, refused
 
 
 @pytest.mark.parametrize(
     'demands', [(8, 0.5, 0.5), (3, 3, 3), (0.5, 8, 0.5), (9, 0, 0)]
 )
-def test_what_lies_below_the_cap_is_not_refused(demands):
+def test_demand_below_the_cap_is_not_rejected(demands):
     """Nine tenths of what the cap carries for long, asked wherever.
 
     One region at its peak while the others sleep, or all alike. A split that
     does not follow the demand would refuse most of it.
     """
-    asked, refused = calm_world(demands)
+    asked, refused = simulate_steady_demand(demands)
     assert asked > 50
     assert refused <= 0.01 * asked
 
 
 def test_share_follows_a_peak_to_another_region_within_two_seconds():
     """A region's peak ends as another one's begins."""
-    world = World(5)
-    world.random.choice = lambda options: options[2]
+    simulation = Simulation(5)
+    simulation.random.choice = lambda options: options[2]
     for tick in range(240):
-        busy, calm = world.holders[:2] if tick < 120 else world.holders[1::-1]
+        busy, calm = (
+            simulation.holders[:2] if tick < 120 else simulation.holders[1::-1]
+        )
         if tick % 5 == 0:
-            for holder in world.holders:
-                world.ask(holder)
+            for holder in simulation.holders:
+                simulation.request_shares(holder)
         if tick % 2 == 0:
-            busy.want(2400, world.now)
+            busy.acquire(2400, simulation.now)
         if tick % 40 == 0:
-            calm.want(2400, world.now)
-        world.step()
+            calm.acquire(2400, simulation.now)
+        simulation.step()
         if tick == 160:
-            assert world.holders[1].pool.held(world.now) > 0.6
+            assert simulation.holders[1].pool.held(simulation.now) > 0.6
 
 
-def test_late_answer_to_an_earlier_question_changes_nothing():
+def test_late_response_to_an_earlier_request_is_ignored():
     """The issuer believes what a question says is held.
 
     An answer to the question before it, taken after that, would let the pool
@@ -269,13 +275,13 @@
     pool = OrganisationPool(CapRate(cap(36000), WINDOW), 0.0)
     first = pool.shares[0].start_request(0.0)
     second = pool.shares[0].start_request(0.5)
-    pool.handle_response(answer(0, first, 0.8), 0.6)
+    pool.handle_response(share_response(0, first, 0.8), 0.6)
     assert pool.shares[0].held(0.6) == 0
-    pool.handle_response(answer(0, second, 0.2), 0.7)
+    pool.handle_response(share_response(0, second, 0.2), 0.7)
     assert pool.shares[0].held(0.7) == 0.2
 
 
-def test_silent_pools_share_is_not_lent_again_before_it_ends():
+def test_share_of_a_silent_pool_is_not_leased_before_it_expires():
     """A pool is cut off with half of the cap, and goes on spending it."""
     issuer = Issuer(0.0, 0.0)
     now = 2 * SHARE_LEASE_SECONDS
@@ -288,7 +294,7 @@
     assert last.share > 0.8
 
 
-def test_new_issuer_lends_nothing_that_may_be_held():
+def test_new_issuer_leases_nothing_that_may_be_held():
     """An issuer took over from one that crashed; a pool is not heard yet.
 
     It may still spend all but what the others hold. Until that has ended the
@@ -304,7 +310,7 @@
     assert other.share == 0
 
 
-def test_pool_that_rested_is_lent_to_again():
+def test_pool_created_again_gets_shares():
     """An organisation is silent for long, and its pool is dropped.
 
     The same process begins it anew. To its issuer, which nobody else asks, the
@@ -317,9 +323,9 @@
         pool = OrganisationPool(cap_rate, now)
         for asked_at in (now, now + 0.3, now + 0.6):
             number = pool.shares[0].start_request(asked_at)
-            loan = issuer.grant('a', 1, number, held=0, wanted=1, now=asked_at)
-            assert loan is not None
-            assert loan.share > 0
+            lease = issuer.grant('a', 1, number, held=0, wanted=1, now=asked_at)
+            assert lease is not None
+            assert lease.share > 0
 
 
 def test_restarted_pool_holds_nothing():
@@ -339,7 +345,7 @@
     st.floats(0, 1),
     st.floats(0, 1e6),
 )
-def test_pace_fits_every_window(per_second, burst, seconds, excess, slack):
+def test_cap_rate_fits_every_window(per_second, burst, seconds, excess, slack):
     """Whatever the operator declares, rate and bursts fit what may run."""
     window = Window(seconds, excess, slack)
     cap_rate = CapRate(cap(per_second, burst), window)
@@ -351,7 +357,7 @@
     assert most <= allowed(per_second, burst, window)
 
 
-def lent_pool(share=0.9, per_second=36000):
+def pool_with_shares(share=0.9, per_second=36000):
     pool = OrganisationPool(CapRate(cap(per_second), WINDOW), 0.0)
     renew(pool, 0.0, share)
     return pool
@@ -359,82 +365,84 @@
 
 def renew(pool, now, share=0.9):
     for half, one in enumerate(pool.shares):
-        pool.handle_response(answer(half, one.start_request(now), share), now)
+        pool.handle_response(
+            share_response(half, one.start_request(now), share), now
+        )
 
 
-def test_refusal_says_when_the_tokens_are_there():
+def test_rejection_says_when_tokens_are_available():
     """An organisation has spent its burst; a review of 30,000 tokens comes."""
-    pool = lent_pool()
-    told = []
+    pool = pool_with_shares()
+    decisions = []
     renew(pool, 0.1)
-    pool.acquire(30000, 0.1, told.append)
-    assert told[0].is_over_cap
-    after = told[0].retry_after_seconds
+    pool.acquire(30000, 0.1, decisions.append)
+    assert decisions[0].is_over_cap
+    after = decisions[0].retry_after_seconds
     rate = 0.9 * pool.cap_rate.per_second
     assert after == pytest.approx((30000 - 0.1 * rate) / rate, rel=0.01)
 
 
-def test_what_fits_in_a_moment_waits_for_it():
-    pool = lent_pool()
-    told = []
-    pool.acquire(3000, 0.0, told.append)
-    assert not told
+def test_request_that_fits_a_moment_later_waits():
+    pool = pool_with_shares()
+    decisions = []
+    pool.acquire(3000, 0.0, decisions.append)
+    assert not decisions
     pool.serve_waiting(0.1)
-    assert told == [None]
+    assert decisions == [None]
 
 
-def test_nobody_waits_longer_than_the_bound():
+def test_no_request_waits_longer_than_the_limit():
     """The issuer is gone while requests wait for their pool's first share."""
     pool = OrganisationPool(CapRate(cap(36000), WINDOW), 0.0)
-    told = []
-    pool.acquire(2400, 0.0, told.append)
+    decisions = []
+    pool.acquire(2400, 0.0, decisions.append)
     pool.serve_waiting(MAX_WAIT_SECONDS / 2)
-    assert not told
+    assert not decisions
     pool.serve_waiting(MAX_WAIT_SECONDS + 0.01)
-    assert not told[0].is_over_cap
-    assert told[0].retry_after_seconds > 0
+    assert not decisions[0].is_over_cap
+    assert decisions[0].retry_after_seconds > 0
 
 
-def test_tokens_end_with_the_share():
+def test_tokens_expire_with_the_share():
     """A pool that hears nothing more stops; another one holds its share."""
-    pool = lent_pool()
-    told = []
-    pool.acquire(2400, SHARE_LEASE_SECONDS + 1, told.append)
+    pool = pool_with_shares()
+    decisions = []
+    pool.acquire(2400, SHARE_LEASE_SECONDS + 1, decisions.append)
     pool.serve_waiting(SHARE_LEASE_SECONDS + 1 + MAX_WAIT_SECONDS)
-    assert not told[0].is_over_cap
+    assert not decisions[0].is_over_cap
 
 
-def test_tokens_of_a_request_that_did_not_run_come_back():
-    pool = lent_pool()
-    told = []
+def test_tokens_of_a_request_that_did_not_run_are_refunded():
+    pool = pool_with_shares()
+    decisions = []
     renew(pool, 1.0)
-    pool.acquire(25000, 1.0, told.append)
+    pool.acquire(25000, 1.0, decisions.append)
     pool.refund(25000, 1.0)
-    pool.acquire(25000, 1.0, told.append)
-    assert told == [None, None]
+    pool.acquire(25000, 1.0, decisions.append)
+    assert decisions == [None, None]
 
 
-def test_lowered_cap_binds_at_once():
-    pool = lent_pool()
+def test_lowered_cap_applies_at_once():
+    pool = pool_with_shares()
     renew(pool, 1.0)
     pool.cap_rate = CapRate(cap(3600), WINDOW)
     renew(pool, 1.1)
-    told = []
+    decisions = []
     for _ in range(40):
-        pool.acquire(1000, 1.2, told.append)
-    assert told.count(None) * 1000 <= pool.cap_rate.burst
+        pool.acquire(1000, 1.2, decisions.append)
+    assert decisions.count(None) * 1000 <= pool.cap_rate.burst
 
 
-def test_half_a_cap_is_lent_while_one_issuer_is_gone():
+def test_half_a_cap_is_available_while_one_issuer_is_gone():
     """One of two issuers can't be reached for long.
 
     A pool asks the other one for what its demand needs, and has half of the
     cap: nearly all that is usually asked for.
     """
-    pool = lent_pool()
+    pool = pool_with_shares()
     now = SHARE_LEASE_SECONDS + 1
     one = pool.shares[0]
-    pool.handle_response(answer(0, one.start_request(now), 0.9), now)
+    pool.handle_response(share_response(0, one.start_request(now), 0.9), now)
     assert pool.held(now) == pytest.approx(0.45)
     before = OrganisationPool(pool.cap_rate, now)
     for other in (pool, before):
@@ -443,7 +451,7 @@
     assert pool.wanted(now) == pytest.approx(2 * before.wanted(now))
 
 
-def test_cost_counts_tokens_in_and_out():
+def test_cost_counts_prompt_and_output_tokens():
     tokens = cap(1000)
     assert tokens.cost(1800, 80) == 1880
     assert tokens.cost(0, 0) == 200
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -37,7 +37,7 @@
 SETTLED_SECONDS = 3.0
 
 
-class Book:
+class HostSuspects:
     """Hold one host's suspects and a clock that the test moves."""
 
     def __init__(self, clock=None):
@@ -47,75 +47,78 @@
         self.suspects.on_refused = self.withdrawn.append
 
     def record_crash(
-        self, name, life, weight=RUNNING_WEIGHT, *, had_no_output=True
+        self, name, incarnation_id, weight=RUNNING_WEIGHT, *, had_no_output=True
     ):
         self.suspects.record_crash(
-            name, self.made(life, weight, had_no_output=had_no_output)
+            name,
+            self.new_crash(incarnation_id, weight, had_no_output=had_no_output),
         )
 
-    def made(self, life, weight=RUNNING_WEIGHT, *, had_no_output=True):
+    def new_crash(
+        self, incarnation_id, weight=RUNNING_WEIGHT, *, had_no_output=True
+    ):
         at_ms = round(self.clock.now().timestamp() * 1000)
-        return Crash(life, weight, had_no_output, at_ms)
+        return Crash(incarnation_id, weight, had_no_output, at_ms)
 
-    def crashes(self, name, *lives, **fields):
-        for life in lives:
+    def record_crashes(self, name, *incarnation_ids, **fields):
+        for incarnation_id in incarnation_ids:
             self.clock.advance(1.0)
-            self.record_crash(name, life, **fields)
+            self.record_crash(name, incarnation_id, **fields)
 
     def is_refused(self, name):
         return self.suspects.refused_seconds(name) is not None
 
-    def words(self):
+    def reports(self):
         return self.suspects.reports_to_send(is_near=False, is_full=True)
 
 
-def test_third_end_refuses_a_request():
-    book = Book()
-    book.crashes('q', 'i-1', 'i-2')
-    assert not book.is_refused('q')
-    book.crashes('q', 'i-3')
-    assert book.is_refused('q')
-    assert not book.is_refused('another')
+def test_third_crash_refuses_a_request():
+    host = HostSuspects()
+    host.record_crashes('q', 'i-1', 'i-2')
+    assert not host.is_refused('q')
+    host.record_crashes('q', 'i-3')
+    assert host.is_refused('q')
+    assert not host.is_refused('another')
 
 
-def test_one_end_that_many_see_counts_once():
+def test_crash_observed_by_many_hosts_counts_once():
     """Three hosts each lost the same request at the same target."""
     clock = FakeClock()
-    books = [Book(clock) for _ in range(3)]
-    for book in books:
-        book.record_crash('q', 'i-1')
-    for book in books:
-        for other in books:
-            book.suspects.merge_reports(other.words(), is_near=True)
-    assert not any(book.is_refused('q') for book in books)
-    assert len(books[0].suspects.get('q').crashes) == 1
+    hosts = [HostSuspects(clock) for _ in range(3)]
+    for host in hosts:
+        host.record_crash('q', 'i-1')
+    for host in hosts:
+        for other in hosts:
+            host.suspects.merge_reports(other.reports(), is_near=True)
+    assert not any(host.is_refused('q') for host in hosts)
+    assert len(hosts[0].suspects.get('q').crashes) == 1
 
 
 @given(st.data())
-def test_ends_add_up_in_any_order_and_told_twice(data):
+def test_reports_merge_in_any_order_and_repeated(data):
     """Each host saw one of three ends; their words cross, repeat, come late."""
     clock = FakeClock()
-    books = [Book(clock) for _ in range(3)]
-    for number, book in enumerate(books):
-        book.record_crash('q', f'i-{number}')
-    words = [word for book in books for word in book.words()]
-    for book in books:
-        for word in data.draw(st.permutations(words + words)):
-            book.suspects.merge_reports([word], is_near=True)
-        assert book.is_refused('q')
+    hosts = [HostSuspects(clock) for _ in range(3)]
+    for number, host in enumerate(hosts):
+        host.record_crash('q', f'i-{number}')
+    reports = [report for host in hosts for report in host.reports()]
+    for host in hosts:
+        for report in data.draw(st.permutations(reports + reports)):
+            host.suspects.merge_reports([report], is_near=True)
+        assert host.is_refused('q')
 
 
-def test_request_that_waited_at_three_ends_is_not_refused():
+def test_request_queued_at_three_crashes_is_not_refused():
     """It was queued at three targets that another request ended."""
-    book = Book()
-    book.crashes(
+    host = HostSuspects()
+    host.record_crashes(
         'queued', 'i-1', 'i-2', 'i-3', weight=QUEUED_WEIGHT, had_no_output=False
     )
-    assert not book.is_refused('queued')
-    book.crashes(
+    assert not host.is_refused('queued')
+    host.record_crashes(
         'queued', 'i-4', 'i-5', 'i-6', weight=QUEUED_WEIGHT, had_no_output=False
     )
-    assert book.is_refused('queued')
+    assert host.is_refused('queued')
 
 
 def test_popular_request_that_is_served_is_never_refused():
@@ -124,17 +127,17 @@
     A count of ends alone would refuse what all callers ask for. Words of
     ends from before it was served come late, and change nothing.
     """
-    book, other = Book(), Book()
+    host, other = HostSuspects(), HostSuspects()
     for number in range(12):
-        book.crashes('popular', f'i-{number}')
-        late = book.words()
-        book.clock.advance(0.5)
-        book.suspects.record_served('popular')
-        book.suspects.merge_reports(late, is_near=False)
-        other.suspects.merge_reports([*book.words(), *late], is_near=True)
-    assert not book.is_refused('popular')
+        host.record_crashes('popular', f'i-{number}')
+        late = host.reports()
+        host.clock.advance(0.5)
+        host.suspects.record_served('popular')
+        host.suspects.merge_reports(late, is_near=False)
+        other.suspects.merge_reports([*host.reports(), *late], is_near=True)
+    assert not host.is_refused('popular')
     assert not other.is_refused('popular')
-    assert not book.suspects.get('popular').crashes
+    assert not host.suspects.get('popular').crashes
 
 
 def test_stream_that_runs_beside_the_culprit_is_not_refused():
@@ -143,79 +146,79 @@
     The request that ends engines follows it: both are at the same three ends.
     The stream had made events each time, the other one had just begun.
     """
-    book = Book()
-    for life in ('i-1', 'i-2', 'i-3'):
-        book.crashes('culprit', life)
-        book.record_crash('stream', life, had_no_output=False)
-    assert book.is_refused('culprit')
-    assert not book.is_refused('stream')
-    assert book.withdrawn == ['culprit']
-    book.crashes('stream', 'i-4', 'i-5', 'i-6', had_no_output=False)
-    assert book.is_refused('stream')
-
-
-def test_refusal_ends_and_one_more_end_renews_it():
+    host = HostSuspects()
+    for incarnation_id in ('i-1', 'i-2', 'i-3'):
+        host.record_crashes('culprit', incarnation_id)
+        host.record_crash('stream', incarnation_id, had_no_output=False)
+    assert host.is_refused('culprit')
+    assert not host.is_refused('stream')
+    assert host.withdrawn == ['culprit']
+    host.record_crashes('stream', 'i-4', 'i-5', 'i-6', had_no_output=False)
+    assert host.is_refused('stream')
+
+
+def test_refusal_expires_and_one_more_crash_renews_it():
     """A new version of the engine may bear the request.
 
     After ten minutes it is let through; if it ends one more target, it is
     refused anew at once and not after three.
     """
-    book = Book()
-    book.crashes('q', 'i-1', 'i-2', 'i-3')
-    book.clock.advance(REFUSAL_SECONDS + 1)
-    book.suspects.expire_if_due()
-    assert not book.is_refused('q')
-    book.crashes('q', 'i-4')
-    assert book.is_refused('q')
+    host = HostSuspects()
+    host.record_crashes('q', 'i-1', 'i-2', 'i-3')
+    host.clock.advance(REFUSAL_SECONDS + 1)
+    host.suspects.expire_if_due()
+    assert not host.is_refused('q')
+    host.record_crashes('q', 'i-4')
+    assert host.is_refused('q')
 
 
-def test_flood_of_other_bodies_does_not_push_a_suspect_out():
+def test_flood_of_other_bodies_does_not_displace_a_suspect():
     """A caller sends ten thousand bodies that each were at one end.
 
     The table stays bounded, and the request with two ends is still there
     when its third one comes.
     """
-    book = Book()
-    book.crashes('q', 'i-1', 'i-2')
+    host = HostSuspects()
+    host.record_crashes('q', 'i-1', 'i-2')
     for number in range(10_000):
-        book.record_crash(f'made-up-{number}', 'i-2')
-    assert len(book.suspects) <= 2 * MAX_SUSPECTS
-    book.clock.advance(EXPIRY_CHECK_SECONDS + 1)
-    book.suspects.expire_if_due()
-    assert len(book.suspects) <= MAX_SUSPECTS
-    book.crashes('q', 'i-3')
-    assert book.is_refused('q')
+        host.record_crash(f'made-up-{number}', 'i-2')
+    assert len(host.suspects) <= 2 * MAX_SUSPECTS
+    host.clock.advance(EXPIRY_CHECK_SECONDS + 1)
+    host.suspects.expire_if_due()
+    assert len(host.suspects) <= MAX_SUSPECTS
+    host.record_crashes('q', 'i-3')
+    assert host.is_refused('q')
 
 
-def test_news_are_bounded_and_tell_the_weightiest():
+def test_reports_are_bounded_and_include_the_heaviest():
     """Three thousand different requests have each ended three targets."""
-    book = Book()
-    for life in ('i-1', 'i-2', 'i-3'):
+    host = HostSuspects()
+    for incarnation_id in ('i-1', 'i-2', 'i-3'):
         for number in range(3000):
-            book.record_crash(f'q-{number}', f'{life}-{number}')
-    book.crashes('worst', 'i-1', 'i-2', 'i-3', 'i-4')
-    told = book.words()
-    assert len(told) <= MAX_CHANGED_REPORTS + MAX_REPEATED_REPORTS
-    assert told[0].fingerprint == 'worst'
-    assert len(encode(heartbeat(told))) < 30_000
-    assert book.is_refused('q-2999')
+            host.record_crash(f'q-{number}', f'{incarnation_id}-{number}')
+    host.record_crashes('worst', 'i-1', 'i-2', 'i-3', 'i-4')
+    reports = host.reports()
+    assert len(reports) <= MAX_CHANGED_REPORTS + MAX_REPEATED_REPORTS
+    assert reports[0].fingerprint == 'worst'
+    assert len(encode(heartbeat(reports))) < 30_000
+    assert host.is_refused('q-2999')
 
 
 def test_suspects_are_forgotten():
-    book = Book()
-    book.crashes('once', 'i-1')
-    book.crashes('refused', 'i-1', 'i-2', 'i-3')
+    host = HostSuspects()
+    host.record_crashes('once', 'i-1')
+    host.record_crashes('refused', 'i-1', 'i-2', 'i-3')
     for _ in range(3):
-        book.clock.advance(crashes.SINGLE_CRASH_RETENTION_SECONDS)
-        book.suspects.expire_if_due()
-    assert book.suspects.get('once') is None
-    assert book.suspects.get('refused') is not None
-    book.clock.advance(crashes.RETENTION_SECONDS)
-    book.suspects.expire_if_due()
-    assert not book.suspects
+        host.clock.advance(crashes.SINGLE_CRASH_RETENTION_SECONDS)
+        host.suspects.expire_if_due()
+    assert host.suspects.get('once') is None
+    assert host.suspects.get('refused') is not None
+    host.clock.advance(crashes.RETENTION_SECONDS)
+    host.suspects.expire_if_due()
+    assert not host.suspects
 
 
-def heartbeat(words=()):
+def heartbeat(reports=()):
     document = {
         'name': 'a',
         'incarnation': 1,
@@ -236,11 +239,11 @@
             }
         )
     )
-    made.suspects = list(words)
+    made.suspects = list(reports)
     return made
 
 
-class EarlierHeartbeat(msgspec.Struct):
+class PreviousHeartbeat(msgspec.Struct):
     """Hold what a host of the version before reads."""
 
     host: dict
@@ -248,16 +251,16 @@
     revision: int
 
 
-def test_hosts_of_the_version_before_pass_over_the_words():
+def test_hosts_of_the_previous_version_ignore_reports():
     """Words of both versions are read by both."""
     assert heartbeat().suspects == []
     content = encode(heartbeat([SuspectReport('q', 0, [])]))
-    read = msgspec.json.decode(content, type=EarlierHeartbeat)
+    read = msgspec.json.decode(content, type=PreviousHeartbeat)
     assert read.revision == 1
     assert isinstance(decode(content), Heartbeat)
 
 
-def refusing(fleet, name):
+def hosts_refusing(fleet, name):
     return {
         host
         for host, one in fleet.running().items()
@@ -265,16 +268,17 @@
     }
 
 
-def saw_end(fleet, host, name, life):
+def record_crash_in_fleet(fleet, host, name, incarnation_id):
     suspects = fleet.hosts[host].heartbeats.content.suspects
     at_ms = round(fleet.clock.now().timestamp() * 1000)
     suspects.record_crash(
-        name, Crash(life, RUNNING_WEIGHT, had_no_output=True, at_ms=at_ms)
+        name,
+        Crash(incarnation_id, RUNNING_WEIGHT, had_no_output=True, at_ms=at_ms),
     )
 
 
 @pytest.mark.parametrize(('count', 'lost'), [(8, 0.03), (65, 0.03), (90, 0.1)])
-def test_all_hosts_of_a_region_hear_of_ends_that_three_saw(count, lost):
+def test_all_hosts_of_a_region_learn_of_crashes_seen_by_three(count, lost):
     """Three hosts each saw one end; some datagrams get lost, the store is away.
 
     A host that had not heard would send the request on. Within the two
@@ -285,12 +289,12 @@
     fleet.is_lost = lambda sender, receiver: source.random() < lost
     fleet.run(SETTLED_SECONDS)
     for number, host in enumerate(('h001', 'h002', 'h005')):
-        saw_end(fleet, host, 'q', f'i-{number}')
+        record_crash_in_fleet(fleet, host, 'q', f'i-{number}')
     fleet.run(REPORT_PERIOD_SECONDS)
-    assert refusing(fleet, 'q') == set(fleet.hosts)
+    assert hosts_refusing(fleet, 'q') == set(fleet.hosts)
 
 
-def test_hosts_that_saw_the_ends_may_all_be_replaced():
+def test_hosts_that_observed_the_crashes_may_all_be_replaced():
     """The three hosts that saw the ends are killed after another.
 
     Their neighbours know, and a host that starts later is told by them
@@ -299,34 +303,34 @@
     fleet = Fleet(8)
     fleet.run(SETTLED_SECONDS)
     for number, host in enumerate(('h001', 'h002', 'h005')):
-        saw_end(fleet, host, 'q', f'i-{number}')
+        record_crash_in_fleet(fleet, host, 'q', f'i-{number}')
         fleet.run(0.6)
         fleet.hosts[host].is_running = False
     fleet.run(10.0)
     fleet.add('h900', 'n-1')
     fleet.run(SETTLED_SECONDS)
-    assert refusing(fleet, 'q') == set(fleet.running())
+    assert hosts_refusing(fleet, 'q') == set(fleet.running())
 
 
-def test_host_that_was_frozen_hears_of_it_afterwards():
+def test_frozen_host_learns_of_crashes_afterwards():
     fleet = Fleet(30)
     fleet.run(SETTLED_SECONDS)
     fleet.hosts['h007'].is_running = False
     for number in range(3):
-        saw_end(fleet, 'h001', 'q', f'i-{number}')
+        record_crash_in_fleet(fleet, 'h001', 'q', f'i-{number}')
     fleet.run(10.0)
     fleet.hosts['h007'].is_running = True
     fleet.run(SETTLED_SECONDS)
-    assert 'h007' in refusing(fleet, 'q')
+    assert 'h007' in hosts_refusing(fleet, 'q')
 
 
-def test_load_of_a_target_is_not_touched_by_words():
+def test_reports_do_not_change_the_load_of_a_target():
     """Words on requests change no belief about targets."""
     fleet = Fleet(4)
     fleet.add_target('i-1')
     before = fleet.hosts['h000'].scene.targets.find('i-1')
     before.own = Load(1, 5, 5)
-    saw_end(fleet, 'h001', 'q', 'i-1')
+    record_crash_in_fleet(fleet, 'h001', 'q', 'i-1')
     fleet.run(1.0)
     assert before.failures == 0
     assert before.failing_share == 0
@@ -354,7 +358,7 @@
                 listener.apply_record(name, content)
 
 
-def cut_off_hosts(store, count):
+def partitioned_hosts(store, count):
     """Return hosts that reach the store and not each other."""
     clock = FakeClock()
     made = [
@@ -366,13 +370,15 @@
     return made
 
 
-def see_end(host, life):
+def record_crash_at(host, incarnation_id):
     at_ms = round(host._clock.now().timestamp() * 1000)
-    crash = Crash(life, RUNNING_WEIGHT, had_no_output=True, at_ms=at_ms)
+    crash = Crash(
+        incarnation_id, RUNNING_WEIGHT, had_no_output=True, at_ms=at_ms
+    )
     host.suspects.record_crash('q', crash)
 
 
-async def written(hosts):
+async def write_waiting(hosts):
     """Let hosts write until all that waits is in the store."""
     tasks = [asyncio.create_task(host.writer.run()) for host in hosts]
     async with asyncio.timeout(20):
@@ -382,63 +388,63 @@
         task.cancel()
 
 
-def refuse_all(hosts):
+def refusals(hosts):
     return [host.suspects.refused_seconds('q') is not None for host in hosts]
 
 
-def test_regions_that_are_cut_from_each_other_learn_from_the_store():
+def test_partitioned_regions_learn_from_the_store():
     """Each region reaches the store and none the other one.
 
     One saw two ends and the other one: together they are three.
     """
     store = SharedStore()
-    hosts = cut_off_hosts(store, 3)
-    see_end(hosts[0], 'i-1')
-    see_end(hosts[0], 'i-2')
+    hosts = partitioned_hosts(store, 3)
+    record_crash_at(hosts[0], 'i-1')
+    record_crash_at(hosts[0], 'i-2')
 
-    async def see_both():
-        await written(hosts)
-        assert refuse_all(hosts) == [False, False, False]
-        see_end(hosts[1], 'i-3')
-        await written(hosts)
+    async def crash_in_both_regions():
+        await write_waiting(hosts)
+        assert refusals(hosts) == [False, False, False]
+        record_crash_at(hosts[1], 'i-3')
+        await write_waiting(hosts)
 
-    asyncio.run(see_both())
-    assert refuse_all(hosts) == [True, True, True]
+    asyncio.run(crash_in_both_regions())
+    assert refusals(hosts) == [True, True, True]
 
 
-def test_what_the_store_could_not_take_is_written_when_it_is_back():
+def test_records_are_written_after_a_store_outage():
     store = SharedStore()
-    hosts = cut_off_hosts(store, 2)
+    hosts = partitioned_hosts(store, 2)
     store.is_down = True
-    for life in ('i-1', 'i-2', 'i-3'):
-        see_end(hosts[0], life)
+    for incarnation_id in ('i-1', 'i-2', 'i-3'):
+        record_crash_at(hosts[0], incarnation_id)
 
-    async def come_back():
-        work = asyncio.create_task(written(hosts))
+    async def restore_store():
+        work = asyncio.create_task(write_waiting(hosts))
         await asyncio.sleep(0.1)
         assert store.records == {}
         store.is_down = False
         await work
 
-    asyncio.run(come_back())
-    assert refuse_all(hosts) == [True, True]
+    asyncio.run(restore_store())
+    assert refusals(hosts) == [True, True]
 
 
-def test_records_that_went_with_their_lease_are_still_known():
+def test_expired_records_are_still_known():
     """Leases may run out while the store is away, and take records along."""
     store = SharedStore()
-    (host,) = cut_off_hosts(store, 1)
-    for life in ('i-1', 'i-2', 'i-3'):
-        see_end(host, life)
-    asyncio.run(written([host]))
+    (host,) = partitioned_hosts(store, 1)
+    for incarnation_id in ('i-1', 'i-2', 'i-3'):
+        record_crash_at(host, incarnation_id)
+    asyncio.run(write_waiting([host]))
     for name in store.records:
         host.apply_record(name, None)
-    assert refuse_all([host]) == [True]
+    assert refusals([host]) == [True]
 
 
 @pytest.mark.parametrize('content', [b'', b'{', b'[1]', b'"x"', b'[' * 9000])
 def test_unreadable_records_change_nothing(content):
-    (host,) = cut_off_hosts(SharedStore(), 1)
+    (host,) = partitioned_hosts(SharedStore(), 1)
     for name in ('q/i-1', 'q'):
         with pytest.raises(UnreadableRecordError):
             host.apply_record(name, content)
--- a/tests/gateway/test_witness.py
+++ b/tests/gateway/test_witness.py
@@ -5,20 +5,20 @@
 
 import pytest
 
-from jacinthfold.quarantine import crash_detector as seen
+from jacinthfold.quarantine import crash_detector as detector_module
 from jacinthfold.quarantine.crash_detector import CrashDetector
 from jacinthfold.quarantine.crash_model import CrashCause
 from jacinthfold.quarantine.fingerprints import Fingerprints
 from tests.gateway.test_placement import Scene
 
 
-class Watch:
+class Harness:
     """Hold a witness, what it reported, and what the network would say."""
 
     def __init__(self, monkeypatch):
-        monkeypatch.setattr(seen, 'SETTLE_SECONDS', 0.0)
-        monkeypatch.setattr(seen, 'RECHECK_DELAY_SECONDS', 0.0)
-        monkeypatch.setattr(seen, 'PROBE_TIMEOUT_SECONDS', 0.0)
+        monkeypatch.setattr(detector_module, 'SETTLE_SECONDS', 0.0)
+        monkeypatch.setattr(detector_module, 'RECHECK_DELAY_SECONDS', 0.0)
+        monkeypatch.setattr(detector_module, 'PROBE_TIMEOUT_SECONDS', 0.0)
         self.scene = Scene()
         self.fingerprints = Fingerprints()
         self.fingerprints.set_key(b'a key')
@@ -35,7 +35,7 @@
     async def _is_listening(self, target):
         return self.listening.get(target.record.instance, False)
 
-    def begin(self, instance, body=b'', *, has_head=True, has_events=False):
+    def start(self, instance, body=b'', *, has_head=True, has_events=False):
         request = self.scene.request()
         request.body = body or b'body %d' % next(self._numbers)
         target = self.scene.targets.find(instance)
@@ -49,7 +49,7 @@
 
     def learn_heads(self, lead_seconds=0.1):
         """Have an answer show when heads come."""
-        attempt = self.begin('i-1')
+        attempt = self.start('i-1')
         first_at = attempt.started_at + lead_seconds
         self.detector.record_finish(attempt, first_at, is_broken=False)
 
@@ -57,13 +57,13 @@
         for attempt in attempts:
             first_at = attempt.first_event_at or 0.0
             self.detector.record_finish(attempt, first_at, is_broken=True)
-        await self.looked()
+        await self.wait_confirmed()
 
-    async def looked(self):
+    async def wait_confirmed(self):
         while self.detector._tasks:
             await asyncio.gather(*self.detector._tasks)
 
-    def print_of(self, attempt):
+    def fingerprint_of(self, attempt):
         return self.fingerprints.of(attempt.request)
 
     def present(self, report):
@@ -71,117 +71,120 @@
 
 
 @pytest.fixture
-def watch(monkeypatch):
-    made = Watch(monkeypatch)
+def harness(monkeypatch):
+    made = Harness(monkeypatch)
     for instance in ('i-1', 'i-2', 'i-3'):
         made.scene.add(instance)
     made.learn_heads()
     return made
 
 
-def test_broken_connections_of_a_target_that_listens_are_no_end(watch):
+def test_broken_connections_of_a_listening_target_are_no_crash(harness):
     """A link was reset: all answers broke off, and the target is well."""
-    watch.listening['i-1'] = True
-    asyncio.run(watch.break_all(watch.begin('i-1'), watch.begin('i-1')))
-    assert watch.reports == []
+    harness.listening['i-1'] = True
+    asyncio.run(harness.break_all(harness.start('i-1'), harness.start('i-1')))
+    assert harness.reports == []
 
 
-def test_end_of_a_target_is_told_once_with_all_that_was_there(watch):
-    first, queued = watch.begin('i-1'), watch.begin('i-1', has_head=False)
-    streaming = watch.begin('i-1', has_events=True)
-    watch.begin('i-2')
-    asyncio.run(watch.break_all(first, queued, streaming))
-    (report,) = watch.reports
+def test_crash_is_reported_once_with_all_present_requests(harness):
+    first, queued = harness.start('i-1'), harness.start('i-1', has_head=False)
+    streaming = harness.start('i-1', has_events=True)
+    harness.start('i-2')
+    asyncio.run(harness.break_all(first, queued, streaming))
+    (report,) = harness.reports
     assert report.cause is CrashCause.UNKNOWN
-    assert report.present[0].fingerprint == watch.print_of(first)
+    assert report.present[0].fingerprint == harness.fingerprint_of(first)
     found = {
         one.fingerprint: (one.is_started, one.has_events)
         for one in report.present
     }
     assert found == {
-        watch.print_of(first): (True, False),
-        watch.print_of(queued): (False, False),
-        watch.print_of(streaming): (True, True),
+        harness.fingerprint_of(first): (True, False),
+        harness.fingerprint_of(queued): (False, False),
+        harness.fingerprint_of(streaming): (True, True),
     }
 
 
-def test_heads_that_come_with_the_first_event_tell_nothing(watch):
+def test_heads_that_come_with_the_first_event_are_ignored(harness):
     """Another maker's engine says nothing before the first event.
 
     A request without a head may be running there: as queued it would count
     half, and end six engines in place of three.
     """
     for _ in range(20):
-        watch.learn_heads(lead_seconds=0.0)
-    asyncio.run(watch.break_all(watch.begin('i-1', has_head=False)))
-    (report,) = watch.reports
+        harness.learn_heads(lead_seconds=0.0)
+    asyncio.run(harness.break_all(harness.start('i-1', has_head=False)))
+    (report,) = harness.reports
     assert report.present[0].is_started
 
 
-def test_target_that_was_leaving_has_not_been_ended(watch):
+def test_target_that_was_leaving_has_not_crashed(harness):
     """A release replaces targets: they drain, and cut what lasts too long."""
-    attempt = watch.begin('i-1')
-    watch.scene.targets.remove('i-1')
-    asyncio.run(watch.break_all(attempt))
-    assert watch.reports == []
+    attempt = harness.start('i-1')
+    harness.scene.targets.remove('i-1')
+    asyncio.run(harness.break_all(attempt))
+    assert harness.reports == []
 
 
-def test_targets_that_end_together_lost_their_rack(watch):
+def test_simultaneous_crashes_are_a_lost_rack(harness):
     """Two targets of a data centre end in the same moment.
 
     Requests that were at one of them are not what ended both. One that was
     at both may be.
     """
-    alone = (watch.begin('i-1'), watch.begin('i-2'))
-    asyncio.run(watch.break_all(*alone))
-    assert [report.present for report in watch.reports] == [[], []]
-    watch.reports.clear()
+    alone = (harness.start('i-1'), harness.start('i-2'))
+    asyncio.run(harness.break_all(*alone))
+    assert [report.present for report in harness.reports] == [[], []]
+    harness.reports.clear()
     for instance in ('i-4', 'i-5'):
-        watch.scene.add(instance)
-    both = (watch.begin('i-4', b'same'), watch.begin('i-5', b'same'))
-    asyncio.run(watch.break_all(*both, watch.begin('i-5')))
-    same = {watch.print_of(both[0])}
-    assert [watch.present(report) for report in watch.reports] == [same, same]
+        harness.scene.add(instance)
+    both = (harness.start('i-4', b'same'), harness.start('i-5', b'same'))
+    asyncio.run(harness.break_all(*both, harness.start('i-5')))
+    same = {harness.fingerprint_of(both[0])}
+    assert [harness.present(report) for report in harness.reports] == [
+        same,
+        same,
+    ]
 
 
-def test_cold_target_that_got_too_much_was_not_ended_by_one_request(watch):
+def test_crash_of_an_overloaded_cold_target_blames_no_request(harness):
     """A target crashes when it is sent too much while it is cold."""
-    target = watch.scene.add('cold', cold_seconds=3.0)
-    assert target.cold_until > watch.scene.clock.monotonic()
-    attempts = [watch.begin('cold') for _ in range(8)]
-    asyncio.run(watch.break_all(*attempts))
-    (report,) = watch.reports
+    target = harness.scene.add('cold', cold_seconds=3.0)
+    assert target.cold_until > harness.scene.clock.monotonic()
+    attempts = [harness.start('cold') for _ in range(8)]
+    asyncio.run(harness.break_all(*attempts))
+    (report,) = harness.reports
     assert report.cause is CrashCause.COLD_OVERRUN
     assert report.present == []
 
 
-def test_cold_target_at_its_pace_counts(watch):
+def test_crash_of_a_cold_target_within_its_rate_counts(harness):
     """It had just started and held one request, and ended under it."""
-    watch.scene.add('cold', cold_seconds=3.0)
-    attempt = watch.begin('cold')
-    asyncio.run(watch.break_all(attempt))
-    (report,) = watch.reports
-    assert watch.present(report) == {watch.print_of(attempt)}
+    harness.scene.add('cold', cold_seconds=3.0)
+    attempt = harness.start('cold')
+    asyncio.run(harness.break_all(attempt))
+    (report,) = harness.reports
+    assert harness.present(report) == {harness.fingerprint_of(attempt)}
 
 
-def test_silent_target_has_ended_when_its_record_goes(watch):
+def test_silent_target_has_crashed_when_its_record_is_removed(harness):
     """Its machine went with it: nobody refuses, and nobody answers."""
-    watch.listening['i-1'] = None
-    attempt = watch.begin('i-1')
+    harness.listening['i-1'] = None
+    attempt = harness.start('i-1')
 
     async def lose():
-        watch.detector.record_finish(attempt, 0.0, is_broken=True)
+        harness.detector.record_finish(attempt, 0.0, is_broken=True)
         await asyncio.sleep(0.01)
-        assert watch.reports == []
-        watch.scene.targets.remove('i-1')
-        await watch.looked()
+        assert harness.reports == []
+        harness.scene.targets.remove('i-1')
+        await harness.wait_confirmed()
 
     asyncio.run(lose())
-    (report,) = watch.reports
-    assert watch.present(report) == {watch.print_of(attempt)}
+    (report,) = harness.reports
+    assert harness.present(report) == {harness.fingerprint_of(attempt)}
 
 
-def test_fingerprints_tell_callers_paths_and_bodies_apart():
+def test_fingerprints_differ_by_caller_path_and_body():
     """Nobody may have another caller's request refused with the same body."""
     fingerprints = Fingerprints()
     scene = Scene()
--- a/tools/ablations/organisations.py
+++ b/tools/ablations/organisations.py
@@ -6,7 +6,7 @@
 FRESH = 'tests/gateway/test_freshness.py::'
 QUOTA = 'tests/gateway/test_quota.py::'
 ORDER = 'tests/gateway/test_permit_order.py::'
-WINDOWS = QUOTA + 'test_no_window_holds_more_than_the_rules_allow'
+WINDOWS = QUOTA + 'test_no_window_exceeds_its_limit'
 
 ORGANISATIONS = [
     Ablation(
@@ -18,7 +18,7 @@
                 'pass',
             )
         ],
-        KEYS + 'test_target_is_told_who_calls_and_never_the_key',
+        KEYS + 'test_target_receives_the_organisation_and_never_the_key',
     ),
     Ablation(
         'keys: of two keys none is read',
@@ -29,7 +29,7 @@
                 'if not credentials:',
             )
         ],
-        KEYS + 'test_digest_is_of_the_one_bearer_key',
+        KEYS + 'test_digest_needs_exactly_one_bearer_key',
     ),
     Ablation(
         'keys: one is held by one organisation',
@@ -40,7 +40,7 @@
                 'if False:',
             )
         ],
-        KEYS + 'test_configuration_nobody_can_follow_changes_nothing',
+        KEYS + 'test_invalid_configuration_changes_nothing',
     ),
     Ablation(
         'homes: those of the organisation bind too',
@@ -51,7 +51,7 @@
                 'return homes',
             )
         ],
-        KEYS + 'test_homes_of_route_and_organisation_both_bind',
+        KEYS + 'test_home_regions_of_route_and_organisation_both_apply',
     ),
     Ablation(
         'revocation: no key is served past the bound',
@@ -122,7 +122,7 @@
                 'return _FULL_SHARE',
             )
         ],
-        QUOTA + 'test_silent_pools_share_is_not_lent_again_before_it_ends',
+        QUOTA + 'test_share_of_a_silent_pool_is_not_leased_before_it_expires',
     ),
     Ablation(
         'caps: a new issuer waits until it knows all holders',
@@ -133,7 +133,7 @@
                 'if False:\n            # Other pools',
             )
         ],
-        QUOTA + 'test_new_issuer_lends_nothing_that_may_be_held',
+        QUOTA + 'test_new_issuer_leases_nothing_that_may_be_held',
     ),
     Ablation(
         'caps: only the answer to the latest question counts',
@@ -144,7 +144,7 @@
                 'if False:',
             )
         ],
-        QUOTA + 'test_late_answer_to_an_earlier_question_changes_nothing',
+        QUOTA + 'test_late_response_to_an_earlier_request_is_ignored',
     ),
     Ablation(
         'caps: a share ends by itself',
@@ -155,7 +155,7 @@
                 'if False:',
             )
         ],
-        QUOTA + 'test_tokens_end_with_the_share',
+        QUOTA + 'test_tokens_expire_with_the_share',
     ),
     Ablation(
         'caps: no window holds more, whatever is lost',
--- a/tools/ablations/quarantine.py
+++ b/tools/ablations/quarantine.py
@@ -17,7 +17,7 @@
             ),
         ],
         PROCESSES
-        + 'test_request_that_ends_targets_is_not_sent_to_more[/ask/x]',
+        + 'test_request_that_crashes_targets_is_not_sent_to_more[/ask/x]',
     ),
     Ablation(
         'quarantine: hosts add up what each of them saw',
@@ -29,7 +29,7 @@
             ),
         ],
         WORDS
-        + 'test_all_hosts_of_a_region_hear_of_ends_that_three_saw[8-0.03]',
+        + 'test_all_hosts_of_a_region_learn_of_crashes_seen_by_three[8-0.03]',
     ),
     Ablation(
         'quarantine: collectors tell it',
@@ -41,12 +41,12 @@
             ),
         ],
         WORDS
-        + 'test_all_hosts_of_a_region_hear_of_ends_that_three_saw[65-0.03]',
+        + 'test_all_hosts_of_a_region_learn_of_crashes_seen_by_three[65-0.03]',
     ),
     Ablation(
         'quarantine: neighbours go on telling what is refused',
         [('quarantine/suspects.py', 'if is_full:', 'if False:')],
-        WORDS + 'test_hosts_that_saw_the_ends_may_all_be_replaced',
+        WORDS + 'test_hosts_that_observed_the_crashes_may_all_be_replaced',
     ),
     Ablation(
         'quarantine: the store outlives all hosts',
@@ -57,7 +57,7 @@
                 'False\n            and len',
             ),
         ],
-        PROCESSES + 'test_hosts_that_all_restart_read_it_from_the_store',
+        PROCESSES + 'test_hosts_that_all_restart_read_crashes_from_the_store',
     ),
     Ablation(
         'quarantine: an answer clears a request',
@@ -79,7 +79,7 @@
                 'RUNNING_WEIGHT, QUEUED_WEIGHT = 2, 2',
             )
         ],
-        WORDS + 'test_request_that_waited_at_three_ends_is_not_refused',
+        WORDS + 'test_request_queued_at_three_crashes_is_not_refused',
     ),
     Ablation(
         'quarantine: ends that a likelier request explains do not count',
@@ -101,7 +101,7 @@
                 'list(self._suspects)[:excess]',
             ),
         ],
-        WORDS + 'test_flood_of_other_bodies_does_not_push_a_suspect_out',
+        WORDS + 'test_flood_of_other_bodies_does_not_displace_a_suspect',
     ),
     Ablation(
         'quarantine: a broken connection is no end',
@@ -112,7 +112,7 @@
                 'if True:',
             )
         ],
-        WITNESS + 'test_broken_connections_of_a_target_that_listens_are_no_end',
+        WITNESS + 'test_broken_connections_of_a_listening_target_are_no_crash',
     ),
     Ablation(
         'quarantine: a planned end is no fault',
@@ -123,18 +123,17 @@
                 'if False:',
             ),
         ],
-        WITNESS + 'test_target_that_was_leaving_has_not_been_ended',
+        WITNESS + 'test_target_that_was_leaving_has_not_crashed',
     ),
     Ablation(
         'quarantine: a lost rack is no fault',
         [('quarantine/crash_detector.py', 'if not simultaneous:', 'if True:')],
-        WITNESS + 'test_targets_that_end_together_lost_their_rack',
+        WITNESS + 'test_simultaneous_crashes_are_a_lost_rack',
     ),
     Ablation(
         'quarantine: an overrun cold target is no fault',
         [('quarantine/crash_detector.py', '0 < pace < sends', 'sends < 0')],
-        WITNESS
-        + 'test_cold_target_that_got_too_much_was_not_ended_by_one_request',
+        WITNESS + 'test_crash_of_an_overloaded_cold_target_blames_no_request',
     ),
     Ablation(
         'quarantine: the caller belongs to the request',
@@ -150,7 +149,7 @@
     Ablation(
         'quarantine: copies that wait elsewhere are taken back',
         [('quarantine/quarantine.py', 'attempt.withdraw()', 'pass')],
-        PROCESSES + 'test_copy_that_waits_elsewhere_is_taken_back',
+        PROCESSES + 'test_copy_queued_elsewhere_is_withdrawn',
     ),
     Ablation(
         'quarantine: hosts run by intents refuse it',
@@ -173,6 +172,6 @@
                 'is_started=attempt.is_started',
             ),
         ],
-        WITNESS + 'test_heads_that_come_with_the_first_event_tell_nothing',
+        WITNESS + 'test_heads_that_come_with_the_first_event_are_ignored',
     ),
 ]
