--- a/tests/gateway/test_caps.py
+++ b/tests/gateway/test_caps.py
@@ -1,4 +1,4 @@
-"""Caps through whole hosts: who is told what, and what outlives a crash."""
+"""Caps through whole hosts: responses to callers and crashes of hosts."""
 
 import math
 import time
@@ -17,15 +17,15 @@
 from tools.fleet import wait_until
 
 CAPPED, FREE = 'a-capped-key', 'a-free-key'
-# Of 200 tokens a call: as many as a cap of 400 a second and a burst of 800 let
-# run in a window of eight seconds with an excess of a tenth.
+# Calls of 200 tokens that a cap of 400 a second with a burst of 800 allows in a
+# window of eight seconds with an excess of a tenth.
 WINDOW_SECONDS = 8
 MAX_CALLS = (400 * WINDOW_SECONDS + 800) * 1.1 / 200
 
 
 @pytest.fixture
 def capped(deployment):
-    """Give a target behind two hosts; one organisation has a cap."""
+    """Provide a target behind two hosts; one organisation has a cap."""
     deployment.put_routes(
         route('/order/'),
         route('/open/', public=True),
@@ -39,7 +39,10 @@
         deployment.start_host(name, revocation_ms=60000)
     for name in ('north-a', 'north-b'):
         wait_served(deployment, name, '/open/x')
-        wait_until(lambda name=name: is_served(deployment, name), 'it is lent')
+        wait_until(
+            lambda name=name: is_served(deployment, name),
+            'the host holds a share',
+        )
     deployment.targets['i-1'].executed.clear()
     return deployment
 
@@ -53,10 +56,10 @@
 
 
 def test_cap_limits_an_organisation_over_all_hosts(capped):
-    """An organisation asks far beyond its cap, at both hosts in turn.
+    """An organisation sends far more than its cap, to both hosts in turn.
 
-    What is over is refused at once with a time to come back, and has not run;
-    another organisation is served all the while.
+    Requests over the cap are rejected at once with a time to retry after, and
+    don't run. Another organisation is served all the time.
     """
     statuses = []
     began_at = time.monotonic()
@@ -80,10 +83,10 @@
 
 
 def test_request_rejected_by_a_target_costs_nothing(capped):
-    """Targets refuse for a while, and an organisation goes on asking.
+    """A target rejects all requests while an organisation keeps sending.
 
-    Its bucket holds one call. Each is turned down by a target and has not run,
-    so its tokens come back before the next one: none is over the cap.
+    Its bucket holds one call. Rejected calls did not run, so that their tokens
+    are refunded before the next one, and none is over the cap.
     """
     capped.targets['i-1'].script = refuse
     pause(1.5)
@@ -95,28 +98,32 @@
 
 
 def test_other_host_takes_over_the_pool_of_a_killed_host(capped):
-    """The host that keeps an organisation's pool, or lends to it, is gone.
+    """The host of an organisation's pool, or of its issuer, is killed.
 
-    Its leases end, and the other host lends and keeps all.
+    Its leases expire, and the other host runs both.
     """
     capped.hosts['north-a'].kill()
     capped.store.lapse('north-a')
     wait_until(
         lambda: is_served(capped, 'north-b'),
-        'the other host lets requests through',
+        'the other host grants requests',
         20,
     )
 
 
 def test_hosts_that_all_restart_serve_and_enforce_the_cap(capped):
-    """All hosts lose power: nobody knows what was spent before."""
+    """All hosts lose power, and no host knows what was spent before."""
     for name in ('north-a', 'north-b'):
         capped.hosts[name].kill()
     for name in ('north-a', 'north-b'):
         capped.hosts[name].start()
     for name in ('north-a', 'north-b'):
         capped.wait_ready(name)
-        wait_until(lambda name=name: is_served(capped, name), 'it is lent', 20)
+        wait_until(
+            lambda name=name: is_served(capped, name),
+            'the host holds a share',
+            20,
+        )
 
 
 def test_state_and_metrics_show_shares(capped):
@@ -127,7 +134,7 @@
 
 
 def test_removed_cap_no_longer_applies(capped):
-    """The operator takes the cap away while its organisation presses."""
+    """The operator removes a cap while its organisation exceeds it."""
     while ask_with(capped, 'north-a', CAPPED).status == 200:
         pass
     version = capped.put_routes(
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -1,4 +1,4 @@
-"""Keys and organisations: who is let in, and what targets are told."""
+"""Keys and organisations: who is served, and what targets receive."""
 
 import json
 import socket
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def keyed(deployment):
-    """Give one target behind a host; two organisations hold keys."""
+    """Provide one target behind a host; two organisations have keys."""
     deployment.put_routes(
         route('/order/'),
         route('/open/', public=True),
@@ -50,10 +50,10 @@
 
 
 def test_target_receives_the_organisation_and_never_the_key(keyed):
-    """A caller sends its key, and says that it is somebody else.
+    """A caller sends its key together with the name of another organisation.
 
-    The target must run the request for the key's holder, and must not see the
-    key: a target's log would hold it.
+    The target must run the request for the owner of the key, and must not
+    receive the key, which would end up in its log.
     """
     answer = ask_with(keyed, bearer(KEY), ('Tenant', 'south'))
     assert answer.status == 200
@@ -95,9 +95,9 @@
     ids=str,
 )
 def test_request_without_exactly_one_known_key_is_denied(keyed, headers):
-    """A caller sends no key, an unknown one, two, or what is no key.
+    """A caller sends no key, an unknown one, two, or a malformed one.
 
-    It gets a final answer that says so, nothing runs, and the host goes on.
+    The response is final, nothing runs, and the host keeps serving.
     """
     answer = ask_with(keyed, *headers)
     assert answer.status == 401
@@ -107,10 +107,10 @@
 
 
 def test_key_moves_to_another_organisation(keyed):
-    """The operator gives a key to somebody else, and takes one away.
+    """The operator moves one key to another organisation and removes one.
 
-    From the new version on requests count for the new holder, and those with
-    the other key are denied: on a connection that was open all the while too.
+    From the new version on, requests count for the new owner, and requests with
+    the removed key are denied, also on a connection opened before.
     """
     connection = Connection(keyed.hosts['north-a'].callers)
     connection.send('/order/1', headers=[bearer(KEY)], request_id='before')
@@ -151,8 +151,7 @@
 def test_key_in_a_malformed_line_appears_in_no_log(keyed, line):
     """A caller's library writes the header with a space before the colon.
 
-    The parser's error quotes the line, and the host logged the error: the
-    key stood in the log of each host that the caller tried.
+    The parser's error quotes the line, and hosts logged the error with the key.
     """
     host = keyed.hosts['north-a']
     with socket.create_connection(host.callers, timeout=10) as sent:
@@ -164,7 +163,7 @@
 
 
 def test_configuration_without_organisations_asks_for_no_key(deployment):
-    """Headers of callers go on to targets as they came."""
+    """Headers of callers are forwarded to targets unchanged."""
     deployment.put_routes(route('/order/'))
     deployment.add_target('i-1', 'desk')
     deployment.start_host('north-a')
@@ -176,10 +175,10 @@
 
 
 def test_other_region_runs_a_request_for_the_same_organisation(deployment):
-    """An organisation whose home is the south asks a host of the north.
+    """An organisation with its home in the south calls a host in the north.
 
-    The host passes the request on, with the organisation's name and without
-    its key; the target in the south is told the name.
+    The host relays the request with the organisation's name and without its
+    key; the target in the south receives the name.
     """
     deployment.put_routes(
         route('/order/', **{'timeout-ms': 4000}),
@@ -194,7 +193,7 @@
         lambda: (
             deployment.ask('north-a', '/order/x', headers=headers).status == 200
         ),
-        'the north serves the south',
+        'the host in the north serves the organisation',
     )
     assert ran(deployment)[-1].headers['tenant'] == 'south'
     assert 'authorization' not in ran(deployment)[-1].headers
@@ -267,9 +266,9 @@
     ids=str,
 )
 def test_invalid_configuration_changes_nothing(tenants):
-    """An operator declares a cap, a key or a name that makes no sense.
+    """An operator writes an invalid cap, key or name.
 
-    The version in force stays, and reading says what is wrong.
+    The version in force stays, and decoding raises an error.
     """
     with pytest.raises(UnreadableRecordError):
         PlatformReader().read_routes(document(*tenants))
@@ -303,10 +302,10 @@
 
 
 def test_request_that_no_region_may_serve_is_refused_at_once(deployment):
-    """The route's homes and the organisation's have none in common.
+    """The home regions of the route and the organisation don't overlap.
 
-    No change but a new configuration can serve it: the caller is told to stay
-    away, and not to return in a moment, again and again.
+    Only a new configuration can change that, so the caller must not be told to
+    retry at once, again and again.
     """
     south = {'allowed-regions': ['south']}
     deployment.put_routes(
--- a/tests/gateway/test_quarantine.py
+++ b/tests/gateway/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests under which targets end."""
+"""Quarantine of requests that crash targets, with host processes."""
 
 import itertools
 import signal
@@ -12,17 +12,17 @@
 from tools.fleet import wait_until
 
 HOSTS = {'north-a': 'north-1', 'north-b': 'north-1', 'south-a': 'south-1'}
-# What is promised: so long after three targets have ended under a request,
-# it is sent to at most so many more.
+# The guarantee: this long after a request crashed three targets, it is sent at
+# most this many times more.
 PROPAGATION_SECONDS = 5.0
 MAX_MORE_SENDS = 3
-# Callers come back this often; more would find the same.
+# Number of retries by callers; more would find the same.
 REPEATS = 9
 
 
 @pytest.fixture
 def engines(deployment):
-    """Give engines in two regions and three hosts before them."""
+    """Provide engines in two regions behind three hosts."""
     deployment.put_routes(
         route('/ask/', 'model', 'stream', **{'timeout-ms': 20000}),
         route('/review/', 'model', 'stream', resumable=True),
@@ -54,7 +54,7 @@
 
 
 def send_until_crashed(engines, count, path='/ask/x', body=FATAL, hosts=HOSTS):
-    """Send a request to hosts in turn until it has ended so many engines."""
+    """Send a request to hosts in turn until it crashed so many engines."""
     turn = itertools.cycle(hosts)
 
     def has_crashed():
@@ -62,27 +62,21 @@
             send(engines.deployment, next(turn), body, path)
         return len(engines.ended) >= count
 
-    wait_until(has_crashed, f'{count} engines have ended')
+    wait_until(has_crashed, f'{count} engines have crashed')
 
 
 @pytest.mark.parametrize(
     'path', ['/ask/x', '/review/x', '/quote/x', '/order/x']
 )
 def test_request_that_crashes_targets_is_not_sent_to_more(engines, path):
-    """One caller's request ended every engine that began to run it.
-
-    The caller sent it again as often as it failed, each time through another
-    host and in another region, and each time it was placed like a new one: a
-    request was known by its identifier alone, which is new each time, and the
-    target that ended was blamed by itself. Other callers lost what ran beside,
-    up to 29 requests at a time. What settled it was an engine that had started
-    30 ms before and held nothing else: `event=request_placed attempt=1
-    target=i-e21b9c64e7 wait_seconds=0 prompt_tokens=731`, and 0.18 s later
-    `event=attempt_failed at=i-e21b9c64e7 ending=unknown
-    reason="MalformedAnswerError: peer closed connection" runs=1
-    last_event_id=""`. A request of 731 tokens was at each of the nine engines
-    that ended within sixteen seconds, seen by five hosts of two regions, of
-    which none saw more than three.
+    """Guards against a request that crashes every engine that starts it.
+
+    A caller retried one request of 731 tokens through hosts of two regions and
+    crashed nine engines within sixteen seconds. Hosts knew requests only by
+    their ids, which change with each retry, and none of five hosts saw more
+    than three of the crashes. Other callers lost up to 29 requests at a time.
+    The proof was an engine that had started 30 ms before and ran nothing else:
+    it crashed 0.18 s after the request was placed.
     """
     send_until_crashed(engines, 3, path)
     pause(PROPAGATION_SECONDS)
@@ -96,9 +90,9 @@
 
 
 def test_refusal_says_not_run_and_when_to_retry(engines):
-    """The caller is told at once, and not to come back for minutes.
+    """The caller gets an immediate response, with a delay of minutes.
 
-    A failure without a word would invite the next retry.
+    A failure without a reason would cause the next retry.
     """
     send_until_crashed(engines, 3)
     wait_refused(engines)
@@ -113,7 +107,7 @@
 
 
 def test_another_callers_request_with_the_same_body_is_sent(engines):
-    """Who proves to be somebody else is not refused for this caller."""
+    """A refusal applies only to the caller that sent the request."""
     send_until_crashed(engines, 3)
     wait_refused(engines)
     engines.fatal.clear()
@@ -128,9 +122,9 @@
 
 
 def test_requests_beside_the_culprit_are_served(engines):
-    """Others run at the engines that end, lose their answers, and come again.
+    """Bystanders at crashing engines lose their responses and retry.
 
-    How many ends each is at depends on chance; none is ever refused for it.
+    The number of crashes at which each is present varies; none is refused.
     """
     deployment = engines.deployment
     is_over = threading.Event()
@@ -160,21 +154,22 @@
             lambda body=body: (
                 send(deployment, 'north-b', body, '/review/x').status == 200
             ),
-            'the innocent is served',
+            'the bystander is served',
         )
 
 
 def test_hosts_that_all_restart_read_crashes_from_the_store(engines):
-    """Every host is killed at once, and none has a disk.
+    """All hosts are killed at once, and none has a disk.
 
-    What three ended targets have taught would be learned anew from three
-    more. The store holds the ends; the first host to read them refuses.
+    Without the store, the hosts would need three more crashes. It holds the
+    crashes, and each host refuses the request once it has read them.
     """
     deployment = engines.deployment
     send_until_crashed(engines, 3)
     wait_refused(engines)
     wait_until(
-        lambda: stored_crashes(deployment) >= 3, 'three ends are in the store'
+        lambda: stored_crashes(deployment) >= 3,
+        'three crashes are in the store',
     )
     for name in HOSTS:
         deployment.hosts[name].kill()
@@ -188,10 +183,10 @@
 
 
 def test_hosts_replaced_in_turn_learn_without_the_store(engines):
-    """The store is away from before the first end on; hosts die in turn.
+    """The store is down before the first crash, and hosts are killed in turn.
 
-    Each that starts again has its routes from a neighbour, and what is
-    refused as well.
+    Each restarted host gets its routes and the refused requests from a
+    neighbour.
     """
     deployment = engines.deployment
     deployment.store.is_down = True
@@ -206,7 +201,7 @@
 
 
 def test_frozen_host_refuses_after_it_wakes(engines):
-    """A host slept through all three ends; the others' words are long told."""
+    """A host was stopped during the crashes and the reports of others."""
     deployment = engines.deployment
     awake = ['north-b', 'south-a']
     deployment.hosts['north-a'].signal(signal.SIGSTOP)
@@ -218,10 +213,10 @@
 
 
 def test_copy_queued_elsewhere_is_withdrawn(engines):
-    """A copy is queued at an engine of the other region when the third ends.
+    """A copy is queued in the other region at the time of the third crash.
 
-    Left there it would end that one too. It comes back at once as unknown:
-    nobody can say that it has not run.
+    It would crash that engine too. It is withdrawn at once with the outcome
+    unknown, since it may have run.
     """
     deployment = engines.deployment
     south = [n for n in engines.live('south-1') if engines.is_engine(n)]
@@ -236,7 +231,7 @@
     waiting.start()
     wait_until(
         lambda: any(deployment.targets[name].executed for name in south),
-        'the copy waits in the south',
+        'the copy is queued in the south',
     )
     send_until_crashed(engines, 3, hosts=['north-a', 'north-b'])
     waiting.join()
@@ -245,7 +240,7 @@
 
 
 def wait_refused(engines, path='/ask/x', hosts=HOSTS):
-    """Wait until hosts refuse what ended engines, without sending it."""
+    """Wait until hosts quarantine the request, without sending it."""
     names = list(hosts)
     wait_until(
         lambda: all(
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -1,4 +1,4 @@
-"""Caps over all hosts: shares that are lent, pools, and what a window holds."""
+"""Caps over all hosts: leased shares, pools and the limit of a window."""
 
 import random
 
@@ -20,7 +20,7 @@
 from jacinthfold.quota.pool import MAX_WAIT_SECONDS, OrganisationPool
 
 WINDOW = Window(8, 0.1, 140000)
-# The smallest cap of the sheet and one of the larger ones, in tokens.
+# The smallest configured cap and one of the larger ones, in tokens.
 CAPS = (36000, 1550000)
 
 
@@ -34,7 +34,7 @@
 
 
 def allowed(per_second, burst, window=WINDOW):
-    """Return what the rules let run in a window."""
+    """Return the limit of a window."""
     owed = per_second * window.seconds + burst
     return owed * (1 + window.excess) + window.slack
 
@@ -44,7 +44,7 @@
 
 
 class SimulatedPool:
-    """Hold one pool of a simulated region; its process may start again."""
+    """Pool of a simulated region, whose process may restart."""
 
     def __init__(self, name, cap_rate, now):
         self.name = name
@@ -66,7 +66,7 @@
 
 
 class Simulation:
-    """Play holders and issuers over a network that delays, loses, doubles."""
+    """Pools and issuers on a network that delays, loses and repeats."""
 
     def __init__(self, seed, per_second=36000, regions=3):
         self.random = random.Random(seed)
@@ -108,7 +108,7 @@
         incarnation, issuer = holder.incarnation, self.issuers[half]
 
         def deliver_request():
-            # An issuer that was replaced answers nothing any more.
+            # A replaced issuer no longer responds.
             if issuer is not self.issuers[half]:
                 return
             lease = issuer.grant(
@@ -140,10 +140,10 @@
         self.most_held = max(self.most_held, self.held())
 
     def replace_issuer(self, half):
-        """Begin with an issuer that knows nothing, as after a crash.
+        """Start an issuer without state, as after a crash.
 
-        By its lease the one before has stopped by then; what that one lent is
-        still spent for a while.
+        Its predecessor has stopped when its store lease expired, but the shares
+        that it leased are still spent for a while.
         """
         self.issuers[half] = Issuer(self.now, self.cap_rate.recovery_share)
 
@@ -151,12 +151,11 @@
 @pytest.mark.parametrize('per_second', CAPS)
 @pytest.mark.parametrize('seed', range(40))
 def test_no_window_exceeds_its_limit(seed, per_second):
-    """Three regions press far beyond the cap for half a minute.
+    """Three regions request far more than the cap for half a minute.
 
-    Meanwhile messages are late, lost and doubled, regions are cut off from the
-    issuer, pools start again with nothing, and the issuer is replaced by one
-    that knows nothing. Shares that were lent twice would show as a window that
-    holds more than cap, excess and slack.
+    Messages are delayed, lost and repeated, regions lose contact to the issuer,
+    pools restart empty, and the issuer is replaced by one without state. Shares
+    leased twice would show as a window above cap, excess and slack.
     """
     simulation = Simulation(seed, per_second)
     for tick in range(700):
@@ -175,7 +174,7 @@
         simulation.step()
     granted = sorted(pair for one in simulation.holders for pair in one.granted)
     assert granted
-    # Permits may be used a moment after they were granted.
+    # Permits may be used until they expire.
     span = WINDOW.seconds + PERMIT_LIFETIME_SECONDS
     for start, _ in granted:
         inside = sum(cost for at, cost in granted if start <= at < start + span)
@@ -184,10 +183,10 @@
 
 @pytest.mark.parametrize('seed', range(20))
 def test_shares_never_exceed_the_cap_after_recovery(seed):
-    """Regions ask, lose answers, and are cut; the issuer lives on.
+    """Regions lose responses and contact; the issuer keeps running.
 
-    After its first seconds no more than one whole may be held at any moment,
-    whatever was lost on the way.
+    After its recovery no more than the whole cap may be held at any time,
+    whatever messages were lost.
     """
     simulation = Simulation(seed)
     most = 0.0
@@ -207,7 +206,7 @@
 
 
 def simulate_steady_demand(demands, seconds=12, seed=3):
-    """Play regions whose demand is given in requests of 2,400 a second."""
+    """Simulate regions with a demand in requests of 2,400 tokens a second."""
     simulation = Simulation(seed)
     simulation.random.choice = lambda options: options[2]
     asked = refused = 0
@@ -223,7 +222,7 @@
                     asked += 1
                     before = len(holder.granted)
                     holder.acquire(2400, simulation.now)
-                    # A short wait is no refusal.
+                    # A short wait is no rejection.
                     if len(holder.granted) == before:
                         refused += not holder.pool.has_waiting
                 else:
@@ -236,10 +235,10 @@
     'demands', [(8, 0.5, 0.5), (3, 3, 3), (0.5, 8, 0.5), (9, 0, 0)]
 )
 def test_demand_below_the_cap_is_not_rejected(demands):
-    """Nine tenths of what the cap carries for long, asked wherever.
+    """The total demand is nine tenths of the cap, in any distribution.
 
-    One region at its peak while the others sleep, or all alike. A split that
-    does not follow the demand would refuse most of it.
+    Either one region has its peak while the others are idle, or all are equal.
+    A split that doesn't follow the demand would reject most requests.
     """
     asked, refused = simulate_steady_demand(demands)
     assert asked > 50
@@ -247,7 +246,7 @@
 
 
 def test_share_follows_a_peak_to_another_region_within_two_seconds():
-    """A region's peak ends as another one's begins."""
+    """The peak of one region ends as that of another one starts."""
     simulation = Simulation(5)
     simulation.random.choice = lambda options: options[2]
     for tick in range(240):
@@ -267,10 +266,10 @@
 
 
 def test_late_response_to_an_earlier_request_is_ignored():
-    """The issuer believes what a question says is held.
+    """The issuer relies on the held share that a request reports.
 
-    An answer to the question before it, taken after that, would let the pool
-    spend what the issuer has lent to somebody else by then.
+    If the pool then applied a response to an earlier request, it would spend a
+    share that the issuer has leased to another pool.
     """
     pool = OrganisationPool(CapRate(cap(36000), WINDOW), 0.0)
     first = pool.shares[0].start_request(0.0)
@@ -282,7 +281,7 @@
 
 
 def test_share_of_a_silent_pool_is_not_leased_before_it_expires():
-    """A pool is cut off with half of the cap, and goes on spending it."""
+    """A pool is partitioned with half of the cap and keeps spending it."""
     issuer = Issuer(0.0, 0.0)
     now = 2 * SHARE_LEASE_SECONDS
     first = issuer.grant('a', 1, 1, held=0, wanted=1, now=now)
@@ -295,27 +294,27 @@
 
 
 def test_new_issuer_leases_nothing_that_may_be_held():
-    """An issuer took over from one that crashed; a pool is not heard yet.
+    """An issuer replaced a crashed one, and one pool has not reported yet.
 
-    It may still spend all but what the others hold. Until that has ended the
-    new one only prolongs what pools hold, and a little that buckets leave
-    room for.
+    That pool may still spend all that the others don't hold. Until its share
+    has expired, the new issuer only renews held shares and adds the recovery
+    share.
     """
     issuer = Issuer(10.0, 0.1)
     first = issuer.grant('a', 1, 7, held=0.4, wanted=1, now=10.5)
     assert first.share == pytest.approx(0.5)
-    # What may be lent twice ends as soon as all holders are known.
+    # What may be leased twice expires as soon as all holders are known.
     assert first.seconds < SHARE_LEASE_SECONDS
     other = issuer.grant('b', 1, 3, held=0, wanted=1, now=10.6)
     assert other.share == 0
 
 
 def test_pool_created_again_gets_shares():
-    """An organisation is silent for long, and its pool is dropped.
+    """An idle organisation's pool is dropped and created again.
 
-    The same process begins it anew. To its issuer, which nobody else asks, the
-    questions must not look like late ones of the pool before: they would be
-    passed over, and the organisation refused for good.
+    The same process creates it again. If its requests repeated the numbers of
+    the previous pool, the issuer would ignore them as outdated, and the
+    organisation would be rejected forever.
     """
     issuer = Issuer(0.0, 0.0)
     cap_rate = CapRate(cap(36000), WINDOW)
@@ -332,7 +331,7 @@
     issuer = Issuer(0.0, 0.0)
     now = 2 * SHARE_LEASE_SECONDS
     issuer.grant('a', 1, 1, held=0, wanted=1, now=now)
-    # A question of the process before, late on its way, counts no more.
+    # A late request of the previous process is ignored.
     assert issuer.grant('a', 2, 1, held=0, wanted=1, now=now + 1).share > 0.8
     assert issuer.grant('a', 1, 2, held=0.9, wanted=1, now=now + 1) is None
     assert issuer.total_outstanding(now + 1) <= 1
@@ -346,7 +345,7 @@
     st.floats(0, 1e6),
 )
 def test_cap_rate_fits_every_window(per_second, burst, seconds, excess, slack):
-    """Whatever the operator declares, rate and bursts fit what may run."""
+    """Rate and bursts stay below the window's limit for any configuration."""
     window = Window(seconds, excess, slack)
     cap_rate = CapRate(cap(per_second, burst), window)
     span = seconds + PERMIT_LIFETIME_SECONDS
@@ -371,7 +370,7 @@
 
 
 def test_rejection_says_when_tokens_are_available():
-    """An organisation has spent its burst; a review of 30,000 tokens comes."""
+    """An organisation without burst left sends a request of 30,000 tokens."""
     pool = pool_with_shares()
     decisions = []
     renew(pool, 0.1)
@@ -392,7 +391,7 @@
 
 
 def test_no_request_waits_longer_than_the_limit():
-    """The issuer is gone while requests wait for their pool's first share."""
+    """The issuer is gone while requests wait for the pool's first share."""
     pool = OrganisationPool(CapRate(cap(36000), WINDOW), 0.0)
     decisions = []
     pool.acquire(2400, 0.0, decisions.append)
@@ -404,7 +403,7 @@
 
 
 def test_tokens_expire_with_the_share():
-    """A pool that hears nothing more stops; another one holds its share."""
+    """A pool without responses stops, since another may hold its share."""
     pool = pool_with_shares()
     decisions = []
     pool.acquire(2400, SHARE_LEASE_SECONDS + 1, decisions.append)
@@ -434,10 +433,10 @@
 
 
 def test_half_a_cap_is_available_while_one_issuer_is_gone():
-    """One of two issuers can't be reached for long.
+    """One of two issuers is unreachable for long.
 
-    A pool asks the other one for what its demand needs, and has half of the
-    cap: nearly all that is usually asked for.
+    A pool requests all that its demand needs from the other one. Half of the
+    cap covers nearly all of the usual demand.
     """
     pool = pool_with_shares()
     now = SHARE_LEASE_SECONDS + 1
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -1,4 +1,4 @@
-"""Which requests are refused for what ended under them, decided by words."""
+"""Which requests are refused, decided by merged crash reports."""
 
 import asyncio
 import random
@@ -38,7 +38,7 @@
 
 
 class HostSuspects:
-    """Hold one host's suspects and a clock that the test moves."""
+    """Suspects of one host, with a clock that the test advances."""
 
     def __init__(self, clock=None):
         self.clock = clock or FakeClock()
@@ -82,7 +82,7 @@
 
 
 def test_crash_observed_by_many_hosts_counts_once():
-    """Three hosts each lost the same request at the same target."""
+    """Three hosts observe the same crash with the same request."""
     clock = FakeClock()
     hosts = [HostSuspects(clock) for _ in range(3)]
     for host in hosts:
@@ -96,7 +96,7 @@
 
 @given(st.data())
 def test_reports_merge_in_any_order_and_repeated(data):
-    """Each host saw one of three ends; their words cross, repeat, come late."""
+    """Reports of three crashes, each seen by one host, repeat and reorder."""
     clock = FakeClock()
     hosts = [HostSuspects(clock) for _ in range(3)]
     for number, host in enumerate(hosts):
@@ -109,7 +109,7 @@
 
 
 def test_request_queued_at_three_crashes_is_not_refused():
-    """It was queued at three targets that another request ended."""
+    """It was queued at three targets that another request crashed."""
     host = HostSuspects()
     host.record_crashes(
         'queued', 'i-1', 'i-2', 'i-3', weight=QUEUED_WEIGHT, had_no_output=False
@@ -122,10 +122,10 @@
 
 
 def test_popular_request_that_is_served_is_never_refused():
-    """Many callers ask for the same; it is at each end, and served between.
+    """Many callers send it; it is present at each crash and served between.
 
-    A count of ends alone would refuse what all callers ask for. Words of
-    ends from before it was served come late, and change nothing.
+    Counting crashes alone would refuse a popular request. Late reports of
+    crashes before it was served change nothing.
     """
     host, other = HostSuspects(), HostSuspects()
     for number in range(12):
@@ -141,10 +141,10 @@
 
 
 def test_stream_that_runs_beside_the_culprit_is_not_refused():
-    """A long stream goes on at another engine each time one ends.
+    """A long stream is resumed at another engine after each crash.
 
-    The request that ends engines follows it: both are at the same three ends.
-    The stream had made events each time, the other one had just begun.
+    The culprit follows it, so that both are present at the same three crashes.
+    The stream had events each time, the culprit had just started.
     """
     host = HostSuspects()
     for incarnation_id in ('i-1', 'i-2', 'i-3'):
@@ -158,10 +158,10 @@
 
 
 def test_refusal_expires_and_one_more_crash_renews_it():
-    """A new version of the engine may bear the request.
+    """A new version of the engine may handle the request.
 
-    After ten minutes it is let through; if it ends one more target, it is
-    refused anew at once and not after three.
+    After ten minutes it is allowed again. If it crashes one more target, it is
+    refused at once and not after three.
     """
     host = HostSuspects()
     host.record_crashes('q', 'i-1', 'i-2', 'i-3')
@@ -173,10 +173,10 @@
 
 
 def test_flood_of_other_bodies_does_not_displace_a_suspect():
-    """A caller sends ten thousand bodies that each were at one end.
+    """A caller sends ten thousand bodies, each present at one crash.
 
-    The table stays bounded, and the request with two ends is still there
-    when its third one comes.
+    The table stays bounded, and a request with two crashes is still known at
+    its third one.
     """
     host = HostSuspects()
     host.record_crashes('q', 'i-1', 'i-2')
@@ -191,7 +191,7 @@
 
 
 def test_reports_are_bounded_and_include_the_heaviest():
-    """Three thousand different requests have each ended three targets."""
+    """Three thousand different requests have each crashed three targets."""
     host = HostSuspects()
     for incarnation_id in ('i-1', 'i-2', 'i-3'):
         for number in range(3000):
@@ -244,7 +244,7 @@
 
 
 class PreviousHeartbeat(msgspec.Struct):
-    """Hold what a host of the version before reads."""
+    """Heartbeat as decoded by a host of the previous version."""
 
     host: dict
     state: HostState
@@ -252,7 +252,7 @@
 
 
 def test_hosts_of_the_previous_version_ignore_reports():
-    """Words of both versions are read by both."""
+    """Hosts of both versions decode the heartbeats of both."""
     assert heartbeat().suspects == []
     content = encode(heartbeat([SuspectReport('q', 0, [])]))
     read = msgspec.json.decode(content, type=PreviousHeartbeat)
@@ -279,10 +279,10 @@
 
 @pytest.mark.parametrize(('count', 'lost'), [(8, 0.03), (65, 0.03), (90, 0.1)])
 def test_all_hosts_of_a_region_learn_of_crashes_seen_by_three(count, lost):
-    """Three hosts each saw one end; some datagrams get lost, the store is away.
+    """Three hosts observe one crash each; datagrams get lost, no store.
 
-    A host that had not heard would send the request on. Within the two
-    seconds for which news are told all refuse it, with collectors and without.
+    A host without the reports would still send the request. All hosts refuse it
+    within the two seconds of reporting, with and without collectors.
     """
     fleet = Fleet(count)
     source = random.Random(2)
@@ -295,10 +295,10 @@
 
 
 def test_hosts_that_observed_the_crashes_may_all_be_replaced():
-    """The three hosts that saw the ends are killed after another.
+    """The three hosts that observed the crashes are killed in turn.
 
-    Their neighbours know, and a host that starts later is told by them
-    though nothing has changed for long and the store is away.
+    Neighbours repeat their reports to a host that starts later, although
+    nothing has changed for long and the store is down.
     """
     fleet = Fleet(8)
     fleet.run(SETTLED_SECONDS)
@@ -325,7 +325,7 @@
 
 
 def test_reports_do_not_change_the_load_of_a_target():
-    """Words on requests change no belief about targets."""
+    """Reports on requests don't change the state of targets."""
     fleet = Fleet(4)
     fleet.add_target('i-1')
     before = fleet.hosts['h000'].scene.targets.find('i-1')
@@ -337,7 +337,7 @@
 
 
 class SharedStore:
-    """Hold what hosts write, and tell each that reaches it."""
+    """Store that forwards each write to all hosts that reach it."""
 
     def __init__(self):
         self.records = {}
@@ -359,7 +359,7 @@
 
 
 def partitioned_hosts(store, count):
-    """Return hosts that reach the store and not each other."""
+    """Return hosts that reach the store but not each other."""
     clock = FakeClock()
     made = [
         Quarantine(TargetTable({}, clock), store, clock) for _ in range(count)
@@ -379,7 +379,7 @@
 
 
 async def write_waiting(hosts):
-    """Let hosts write until all that waits is in the store."""
+    """Run the writers until no record waits."""
     tasks = [asyncio.create_task(host.writer.run()) for host in hosts]
     async with asyncio.timeout(20):
         while any(host.writer.waiting_count for host in hosts):
@@ -393,9 +393,9 @@
 
 
 def test_partitioned_regions_learn_from_the_store():
-    """Each region reaches the store and none the other one.
+    """Each region reaches the store, and no region another one.
 
-    One saw two ends and the other one: together they are three.
+    One region observed two crashes and another one the third.
     """
     store = SharedStore()
     hosts = partitioned_hosts(store, 3)
@@ -431,7 +431,7 @@
 
 
 def test_expired_records_are_still_known():
-    """Leases may run out while the store is away, and take records along."""
+    """Leases may expire during a store outage, and records with them."""
     store = SharedStore()
     (host,) = partitioned_hosts(store, 1)
     for incarnation_id in ('i-1', 'i-2', 'i-3'):
--- a/tests/gateway/test_witness.py
+++ b/tests/gateway/test_witness.py
@@ -1,4 +1,4 @@
-"""Which ends of targets are seen, and what counts as there when they came."""
+"""Which crashes are detected, and which requests count as present."""
 
 import asyncio
 import itertools
@@ -13,7 +13,7 @@
 
 
 class Harness:
-    """Hold a witness, what it reported, and what the network would say."""
+    """Crash detector with its reports and simulated probe results."""
 
     def __init__(self, monkeypatch):
         monkeypatch.setattr(detector_module, 'SETTLE_SECONDS', 0.0)
@@ -28,7 +28,7 @@
         self.reports = []
         self.detector.on_crash = self.reports.append
         self.detector.is_listening = self._is_listening
-        # By instance: whether something listens; None is no answer.
+        # By instance: whether the port is open; None for no response.
         self.listening = {}
         self._numbers = itertools.count()
 
@@ -48,7 +48,7 @@
         return attempt
 
     def learn_heads(self, lead_seconds=0.1):
-        """Have an answer show when heads come."""
+        """Record a response to learn when heads come."""
         attempt = self.start('i-1')
         first_at = attempt.started_at + lead_seconds
         self.detector.record_finish(attempt, first_at, is_broken=False)
@@ -80,7 +80,7 @@
 
 
 def test_broken_connections_of_a_listening_target_are_no_crash(harness):
-    """A link was reset: all answers broke off, and the target is well."""
+    """A link was reset: all responses broke, and the target is healthy."""
     harness.listening['i-1'] = True
     asyncio.run(harness.break_all(harness.start('i-1'), harness.start('i-1')))
     assert harness.reports == []
@@ -106,10 +106,10 @@
 
 
 def test_heads_that_come_with_the_first_event_are_ignored(harness):
-    """Another maker's engine says nothing before the first event.
+    """Some engines send nothing before the first event.
 
-    A request without a head may be running there: as queued it would count
-    half, and end six engines in place of three.
+    A request without a head may be running there. Counted as queued it would
+    weigh half, and could crash six engines instead of three.
     """
     for _ in range(20):
         harness.learn_heads(lead_seconds=0.0)
@@ -119,7 +119,7 @@
 
 
 def test_target_that_was_leaving_has_not_crashed(harness):
-    """A release replaces targets: they drain, and cut what lasts too long."""
+    """A release replaces targets, which drain and cut long requests."""
     attempt = harness.start('i-1')
     harness.scene.targets.remove('i-1')
     asyncio.run(harness.break_all(attempt))
@@ -127,10 +127,10 @@
 
 
 def test_simultaneous_crashes_are_a_lost_rack(harness):
-    """Two targets of a data centre end in the same moment.
+    """Two targets of a data centre crash at the same time.
 
-    Requests that were at one of them are not what ended both. One that was
-    at both may be.
+    A request present at only one of them didn't crash both. One present at both
+    may have.
     """
     alone = (harness.start('i-1'), harness.start('i-2'))
     asyncio.run(harness.break_all(*alone))
@@ -148,7 +148,7 @@
 
 
 def test_crash_of_an_overloaded_cold_target_blames_no_request(harness):
-    """A target crashes when it is sent too much while it is cold."""
+    """A cold target crashes because it receives too many requests."""
     target = harness.scene.add('cold', cold_seconds=3.0)
     assert target.cold_until > harness.scene.clock.monotonic()
     attempts = [harness.start('cold') for _ in range(8)]
@@ -159,7 +159,7 @@
 
 
 def test_crash_of_a_cold_target_within_its_rate_counts(harness):
-    """It had just started and held one request, and ended under it."""
+    """A target that has just started crashes with a single request."""
     harness.scene.add('cold', cold_seconds=3.0)
     attempt = harness.start('cold')
     asyncio.run(harness.break_all(attempt))
@@ -168,7 +168,7 @@
 
 
 def test_silent_target_has_crashed_when_its_record_is_removed(harness):
-    """Its machine went with it: nobody refuses, and nobody answers."""
+    """The machine is gone too, so connections are not even refused."""
     harness.listening['i-1'] = None
     attempt = harness.start('i-1')
 
--- a/tools/ablations/organisations.py
+++ b/tools/ablations/organisations.py
@@ -1,4 +1,4 @@
-"""Safeguards of keys, of their end, and of caps."""
+"""Safeguards of keys, their revocation, and caps."""
 
 from tools.ablations.model import Ablation
 
@@ -10,7 +10,7 @@
 
 ORGANISATIONS = [
     Ablation(
-        'keys: none goes on to a target',
+        'keys: no key is forwarded to a target',
         [
             (
                 'gateway/request_handlers.py',
@@ -21,7 +21,7 @@
         KEYS + 'test_target_receives_the_organisation_and_never_the_key',
     ),
     Ablation(
-        'keys: of two keys none is read',
+        'keys: two keys in one request are rejected',
         [
             (
                 'organisations/credentials.py',
@@ -32,7 +32,7 @@
         KEYS + 'test_digest_needs_exactly_one_bearer_key',
     ),
     Ablation(
-        'keys: one is held by one organisation',
+        'keys: a key belongs to one organisation',
         [
             (
                 'organisations/model.py',
@@ -43,7 +43,7 @@
         KEYS + 'test_invalid_configuration_changes_nothing',
     ),
     Ablation(
-        'homes: those of the organisation bind too',
+        'home regions: those of the organisation apply too',
         [
             (
                 'request/messages.py',
@@ -54,7 +54,7 @@
         KEYS + 'test_home_regions_of_route_and_organisation_both_apply',
     ),
     Ablation(
-        'revocation: no key is served past the bound',
+        'revocation: no key is served past the limit',
         [
             (
                 'proxy/key_gate.py',
@@ -65,7 +65,7 @@
         FRESH + 'test_host_without_the_store_serves_no_key_past_the_bound',
     ),
     Ablation(
-        'revocation: looked at again before each send',
+        'revocation: checked again before each send',
         [
             (
                 'proxy/key_gate.py',
@@ -76,7 +76,7 @@
         FRESH + 'test_request_whose_key_went_while_it_waited_is_not_sent',
     ),
     Ablation(
-        'revocation: a proof counts from the question',
+        'revocation: a freshness proof counts from the request',
         [
             (
                 'fleet/proofs.py',
@@ -87,7 +87,7 @@
         FRESH + 'test_proof_does_not_grow_young_on_its_way',
     ),
     Ablation(
-        'revocation: numbers of an earlier life prove nothing',
+        'revocation: numbers of an earlier incarnation prove nothing',
         [
             (
                 'fleet/proofs.py',
@@ -98,12 +98,12 @@
         FRESH + 'test_number_of_an_earlier_life_proves_nothing',
     ),
     Ablation(
-        'revocation: a store that is ahead proves nothing yet',
+        'revocation: a newer store revision proves nothing yet',
         [('catalogue/freshness.py', 'if revision > self._known:', 'if False:')],
         FRESH + 'test_store_that_is_ahead_proves_nothing_until_that_is_known',
     ),
     Ablation(
-        'revocation: a quiet store is asked',
+        'revocation: a store without changes is polled',
         [
             (
                 'catalogue/prover.py',
@@ -114,7 +114,7 @@
         FRESH + 'test_quiet_store_is_asked_and_keys_go_on',
     ),
     Ablation(
-        'caps: what a silent pool may spend is not lent again',
+        'caps: the share of a silent pool is not leased again',
         [
             (
                 'quota/issuer.py',
@@ -136,7 +136,7 @@
         QUOTA + 'test_new_issuer_leases_nothing_that_may_be_held',
     ),
     Ablation(
-        'caps: only the answer to the latest question counts',
+        'caps: only the response to the latest request counts',
         [
             (
                 'quota/share.py',
@@ -147,7 +147,7 @@
         QUOTA + 'test_late_response_to_an_earlier_request_is_ignored',
     ),
     Ablation(
-        'caps: a share ends by itself',
+        'caps: a share expires by itself',
         [
             (
                 'quota/pool.py',
@@ -158,7 +158,7 @@
         QUOTA + 'test_tokens_expire_with_the_share',
     ),
     Ablation(
-        'caps: no window holds more, whatever is lost',
+        'caps: no window exceeds its limit, whatever is lost',
         [
             (
                 'quota/issuer.py',
@@ -169,7 +169,7 @@
         WINDOWS,
     ),
     Ablation(
-        'caps: the permit comes before the choice',
+        'caps: the permit is acquired before a target is chosen',
         [
             (
                 'proxy/forwarding.py',
@@ -185,7 +185,7 @@
         ORDER + 'test_requests_that_wait_for_permits_don_t_push_a_cold_engine',
     ),
     Ablation(
-        'cold engines: hosts that have just started keep quiet',
+        'cold engines: hosts that have just started send less',
         [('placement/pace.py', 'share *= UNSETTLED_SHARE', 'share *= 1')],
         'tests/gateway/test_placement.py::test_cold_engine_is_safe_when_a_region_starts_again_at_once',
     ),
--- a/tools/ablations/quarantine.py
+++ b/tools/ablations/quarantine.py
@@ -1,14 +1,14 @@
-"""Safeguards against requests under which targets end."""
+"""Safeguards against requests that crash targets."""
 
 from tools.ablations.model import Ablation
 
 PROCESSES = 'tests/gateway/test_quarantine.py::'
-WORDS = 'tests/gateway/test_suspects.py::'
+SUSPECTS = 'tests/gateway/test_suspects.py::'
 WITNESS = 'tests/gateway/test_witness.py::'
 
 QUARANTINE = [
     Ablation(
-        'quarantine: a request that ended three targets is not sent',
+        'quarantine: a request that crashed three targets is not sent',
         [
             (
                 'proxy/admission.py',
@@ -20,7 +20,7 @@
         + 'test_request_that_crashes_targets_is_not_sent_to_more[/ask/x]',
     ),
     Ablation(
-        'quarantine: hosts add up what each of them saw',
+        'quarantine: hosts merge their crash reports',
         [
             (
                 'fleet/heartbeats.py',
@@ -28,11 +28,11 @@
                 '',
             ),
         ],
-        WORDS
+        SUSPECTS
         + 'test_all_hosts_of_a_region_learn_of_crashes_seen_by_three[8-0.03]',
     ),
     Ablation(
-        'quarantine: collectors tell it',
+        'quarantine: collectors forward the reports',
         [
             (
                 'fleet/digests.py',
@@ -40,16 +40,16 @@
                 '',
             ),
         ],
-        WORDS
+        SUSPECTS
         + 'test_all_hosts_of_a_region_learn_of_crashes_seen_by_three[65-0.03]',
     ),
     Ablation(
-        'quarantine: neighbours go on telling what is refused',
+        'quarantine: neighbours repeat reports of refused requests',
         [('quarantine/suspects.py', 'if is_full:', 'if False:')],
-        WORDS + 'test_hosts_that_observed_the_crashes_may_all_be_replaced',
+        SUSPECTS + 'test_hosts_that_observed_the_crashes_may_all_be_replaced',
     ),
     Ablation(
-        'quarantine: the store outlives all hosts',
+        'quarantine: the store keeps crashes when all hosts restart',
         [
             (
                 'quarantine/quarantine.py',
@@ -60,7 +60,7 @@
         PROCESSES + 'test_hosts_that_all_restart_read_crashes_from_the_store',
     ),
     Ablation(
-        'quarantine: an answer clears a request',
+        'quarantine: a response clears a request',
         [
             (
                 'quarantine/suspects.py',
@@ -68,10 +68,10 @@
                 '            return',
             ),
         ],
-        WORDS + 'test_popular_request_that_is_served_is_never_refused',
+        SUSPECTS + 'test_popular_request_that_is_served_is_never_refused',
     ),
     Ablation(
-        'quarantine: queued requests weigh half',
+        'quarantine: queued requests count half',
         [
             (
                 'quarantine/crashes.py',
@@ -79,10 +79,10 @@
                 'RUNNING_WEIGHT, QUEUED_WEIGHT = 2, 2',
             )
         ],
-        WORDS + 'test_request_queued_at_three_crashes_is_not_refused',
+        SUSPECTS + 'test_request_queued_at_three_crashes_is_not_refused',
     ),
     Ablation(
-        'quarantine: ends that a likelier request explains do not count',
+        'quarantine: crashes that a likelier request explains do not count',
         [
             (
                 'quarantine/suspects.py',
@@ -90,10 +90,10 @@
                 'if left <= 0:',
             ),
         ],
-        WORDS + 'test_stream_that_runs_beside_the_culprit_is_not_refused',
+        SUSPECTS + 'test_stream_that_runs_beside_the_culprit_is_not_refused',
     ),
     Ablation(
-        'quarantine: a flood pushes the lightest out',
+        'quarantine: a flood displaces the entries with the least weight',
         [
             (
                 'quarantine/suspects.py',
@@ -101,10 +101,10 @@
                 'list(self._suspects)[:excess]',
             ),
         ],
-        WORDS + 'test_flood_of_other_bodies_does_not_displace_a_suspect',
+        SUSPECTS + 'test_flood_of_other_bodies_does_not_displace_a_suspect',
     ),
     Ablation(
-        'quarantine: a broken connection is no end',
+        'quarantine: a broken connection is no crash',
         [
             (
                 'quarantine/crash_detector.py',
@@ -115,7 +115,7 @@
         WITNESS + 'test_broken_connections_of_a_listening_target_are_no_crash',
     ),
     Ablation(
-        'quarantine: a planned end is no fault',
+        'quarantine: a planned end is no crash',
         [
             (
                 'quarantine/crash_detector.py',
@@ -126,17 +126,17 @@
         WITNESS + 'test_target_that_was_leaving_has_not_crashed',
     ),
     Ablation(
-        'quarantine: a lost rack is no fault',
+        'quarantine: a lost rack blames no request',
         [('quarantine/crash_detector.py', 'if not simultaneous:', 'if True:')],
         WITNESS + 'test_simultaneous_crashes_are_a_lost_rack',
     ),
     Ablation(
-        'quarantine: an overrun cold target is no fault',
+        'quarantine: an overloaded cold target blames no request',
         [('quarantine/crash_detector.py', '0 < pace < sends', 'sends < 0')],
         WITNESS + 'test_crash_of_an_overloaded_cold_target_blames_no_request',
     ),
     Ablation(
-        'quarantine: the caller belongs to the request',
+        'quarantine: fingerprints include the caller',
         [
             (
                 'quarantine/fingerprints.py',
@@ -147,7 +147,7 @@
         PROCESSES + 'test_another_callers_request_with_the_same_body_is_sent',
     ),
     Ablation(
-        'quarantine: copies that wait elsewhere are taken back',
+        'quarantine: copies queued elsewhere are withdrawn',
         [('quarantine/quarantine.py', 'attempt.withdraw()', 'pass')],
         PROCESSES + 'test_copy_queued_elsewhere_is_withdrawn',
     ),
@@ -158,13 +158,13 @@
         'test_completion_that_ends_engines_is_not_sent_to_more[False]',
     ),
     Ablation(
-        'quarantine: ends of one name close together are one',
+        'quarantine: crashes of one name close together count once',
         [('serve/guard.py', '< SAME_END_MS', '< 0')],
         'tests/test_ended_targets.py::'
         'test_one_end_that_two_hosts_saw_counts_once',
     ),
     Ablation(
-        'quarantine: whether heads tell is learned',
+        'quarantine: whether heads come early is learned',
         [
             (
                 'quarantine/crash_detector.py',
