--- a/jacinthfold/quarantine/crash_detector.py
+++ b/jacinthfold/quarantine/crash_detector.py
@@ -82,9 +82,9 @@
         attempt.is_started = is_free and not service.is_engine
         incarnation.attempts.append(attempt)
         if target.cold_until > now:
-            limit = now - SEND_WINDOW_SECONDS
+            oldest = now - SEND_WINDOW_SECONDS
             incarnation.send_times = [
-                one for one in incarnation.send_times if one > limit
+                one for one in incarnation.send_times if one > oldest
             ]
             incarnation.send_times.append(now)
         return attempt
@@ -183,8 +183,8 @@
             return
         # The address neither accepts nor refuses, so wait for the removal of
         # the target's record.
-        limit = incarnation.broken_at + RECORD_EXPIRY_SECONDS
-        while is_listening is None and self._clock.monotonic() < limit:
+        deadline = incarnation.broken_at + RECORD_EXPIRY_SECONDS
+        while is_listening is None and self._clock.monotonic() < deadline:
             await asyncio.sleep(PROBE_TIMEOUT_SECONDS)
             if target.is_removed:
                 self._record_crash(target, incarnation)
@@ -209,10 +209,13 @@
     ) -> tuple[CrashCause, list[Attempt]]:
         """Return the cause, and the attempts that may have caused it."""
         service = self._targets.service(target.record.service)
-        pace = service.cold_requests_per_second * OVERRUN_FACTOR
+        overrun_rate = service.cold_requests_per_second * OVERRUN_FACTOR
         since = incarnation.broken_at - SEND_WINDOW_SECONDS
-        sends = sum(1 for one in incarnation.send_times if one > since)
-        if target.cold_until > incarnation.broken_at and 0 < pace < sends:
+        send_count = sum(1 for one in incarnation.send_times if one > since)
+        if (
+            target.cold_until > incarnation.broken_at
+            and 0 < overrun_rate < send_count
+        ):
             return CrashCause.COLD_OVERRUN, []
         simultaneous = self._broken_simultaneously(target, incarnation)
         if not simultaneous:
--- a/jacinthfold/quarantine/crashes.py
+++ b/jacinthfold/quarantine/crashes.py
@@ -79,7 +79,7 @@
         )
 
     def report_changed_at(self, *, is_near: bool) -> float:
-        """Return the time of the last change to report, near or far."""
+        """Return the last change to report to the own or to other regions."""
         return self.region_changed_at if is_near else self.changed_at
 
     def to_report(self, fingerprint: str) -> SuspectReport:
--- a/jacinthfold/quarantine/quarantine.py
+++ b/jacinthfold/quarantine/quarantine.py
@@ -24,7 +24,7 @@
 from jacinthfold.quarantine.suspects import Suspects
 from jacinthfold.request.messages import Request
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 class Refusal:
@@ -93,19 +93,21 @@
         self.suspects.merge_reports([read_record(name, content)], is_near=False)
 
     def _record_crash(self, target_crash: TargetCrash) -> None:
-        at_ms = round(self._clock.now().timestamp() * _MS)
+        at_ms = round(self._clock.now().timestamp() * _MS_PER_SECOND)
         for one in target_crash.present:
             self._record_present_request(
                 one, target_crash.incarnation_id, at_ms
             )
 
     def _record_present_request(
-        self, one: PresentRequest, incarnation_id: str, at_ms: int
+        self, present_request: PresentRequest, incarnation_id: str, at_ms: int
     ) -> None:
-        weight = RUNNING_WEIGHT if one.is_started else QUEUED_WEIGHT
-        had_no_output = one.is_started and not one.has_events
+        weight = RUNNING_WEIGHT if present_request.is_started else QUEUED_WEIGHT
+        had_no_output = (
+            present_request.is_started and not present_request.has_events
+        )
         crash = Crash(incarnation_id, weight, had_no_output, at_ms)
-        self.suspects.record_crash(one.fingerprint, crash)
+        self.suspects.record_crash(present_request.fingerprint, crash)
 
     def _store_observed(self, fingerprint: str, suspect: Suspect) -> None:
         # Only hosts that observed a crash write it: a few of 195, instead of
--- a/jacinthfold/quarantine/suspects.py
+++ b/jacinthfold/quarantine/suspects.py
@@ -42,8 +42,8 @@
 MAX_REPEATED_REPORTS = 16
 # Largest tolerated difference of the hosts' clocks. Later times are limited to
 # it, since they would clear a request of crashes yet to come.
-CLOCK_SKEW_MS = 60_000
-_MS = 1000
+MAX_CLOCK_SKEW_MS = 60_000
+_MS_PER_SECOND = 1000
 
 
 class Suspects:
@@ -75,10 +75,12 @@
         suspect = self._suspects.get(fingerprint)
         if suspect is None or fingerprint not in self._over_threshold:
             return None
-        left = suspect.last_crash_at + REFUSAL_SECONDS - self._clock.monotonic()
-        if left <= 0 or self._is_explained(fingerprint, suspect):
+        remaining = (
+            suspect.last_crash_at + REFUSAL_SECONDS - self._clock.monotonic()
+        )
+        if remaining <= 0 or self._is_explained(fingerprint, suspect):
             return None
-        return left
+        return remaining
 
     def refused(self) -> dict[str, int]:
         """Return the refused fingerprints with their number of crashes."""
@@ -92,13 +94,15 @@
         """Record a crash that this host observed itself."""
         if fingerprint:
             self._find_or_create(fingerprint).is_observed_here = True
-            self._add_crashes(fingerprint, [crash], is_own=True)
+            self._add_crashes(fingerprint, [crash], is_new_in_region=True)
 
     def record_served(self, fingerprint: str) -> None:
         """Record that a target completed a request without crashing."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
-            self._clear(fingerprint, suspect, self._now_ms(), is_own=True)
+            self._clear(
+                fingerprint, suspect, self._now_ms(), is_new_in_region=True
+            )
 
     def merge_reports(
         self, reports: Iterable[SuspectReport], *, is_near: bool
@@ -107,17 +111,17 @@
         for report in reports:
             if report.served_at_ms:
                 suspect = self._find_or_create(report.fingerprint)
-                latest_ms = self._now_ms() + CLOCK_SKEW_MS
+                latest_ms = self._now_ms() + MAX_CLOCK_SKEW_MS
                 served_at_ms = min(report.served_at_ms, latest_ms)
                 if served_at_ms > suspect.served_at_ms:
                     self._clear(
                         report.fingerprint,
                         suspect,
                         served_at_ms,
-                        is_own=not is_near,
+                        is_new_in_region=not is_near,
                     )
             self._add_crashes(
-                report.fingerprint, report.crashes, is_own=not is_near
+                report.fingerprint, report.crashes, is_new_in_region=not is_near
             )
 
     def reports_to_send(
@@ -176,7 +180,11 @@
         return suspect
 
     def _add_crashes(
-        self, fingerprint: str, crashes: Iterable[Crash], *, is_own: bool
+        self,
+        fingerprint: str,
+        crashes: Iterable[Crash],
+        *,
+        is_new_in_region: bool,
     ) -> None:
         known = self._suspects.get(fingerprint)
         new = [crash for crash in crashes if self._is_new(known, crash)]
@@ -186,11 +194,13 @@
         for crash in new[:MAX_CRASHES_PER_SUSPECT]:
             suspect.crashes[crash.incarnation_id] = crash
         suspect.last_crash_at = self._clock.monotonic()
-        self._record_change(fingerprint, suspect, is_own=is_own)
+        self._record_change(
+            fingerprint, suspect, is_new_in_region=is_new_in_region
+        )
 
     def _is_new(self, suspect: Suspect | None, crash: Crash) -> bool:
         age_ms = self._now_ms() - crash.at_ms
-        if age_ms > RETENTION_SECONDS * _MS:
+        if age_ms > RETENTION_SECONDS * _MS_PER_SECOND:
             return False
         if suspect is None:
             return True
@@ -212,7 +222,7 @@
         suspect: Suspect,
         served_at_ms: int,
         *,
-        is_own: bool,
+        is_new_in_region: bool,
     ) -> None:
         suspect.served_at_ms = served_at_ms
         suspect.crashes = {
@@ -220,14 +230,16 @@
             for incarnation_id, crash in suspect.crashes.items()
             if crash.at_ms > served_at_ms
         }
-        self._record_change(fingerprint, suspect, is_own=is_own)
+        self._record_change(
+            fingerprint, suspect, is_new_in_region=is_new_in_region
+        )
 
     def _record_change(
-        self, fingerprint: str, suspect: Suspect, *, is_own: bool
+        self, fingerprint: str, suspect: Suspect, *, is_new_in_region: bool
     ) -> None:
         now = self._clock.monotonic()
         suspect.changed_at = now
-        if is_own:
+        if is_new_in_region:
             suspect.region_changed_at = now
         self.on_crashes(fingerprint, suspect)
         was_over_threshold = fingerprint in self._over_threshold
@@ -266,7 +278,7 @@
         return weight < REFUSAL_WEIGHT
 
     def _now_ms(self) -> int:
-        return round(self._clock.now().timestamp() * _MS)
+        return round(self._clock.now().timestamp() * _MS_PER_SECOND)
 
 
 def _ignore_crashes(_fingerprint: str, _suspect: Suspect) -> None:
--- a/jacinthfold/quota/coordinator.py
+++ b/jacinthfold/quota/coordinator.py
@@ -13,7 +13,7 @@
 from jacinthfold.quota.pool import CapRejection
 from jacinthfold.quota.pools import Pools
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 class QuotaCoordinator:
@@ -61,7 +61,7 @@
         response = PermitResponse(number, None)
         if rejection is not None:
             response.retry_after_ms = (
-                int(rejection.retry_after_seconds * _MS) + 1
+                int(rejection.retry_after_seconds * _MS_PER_SECOND) + 1
             )
             response.is_over_cap = rejection.is_over_cap
         self.outbox.put(sender, response)
--- a/jacinthfold/quota/issuer.py
+++ b/jacinthfold/quota/issuer.py
@@ -126,17 +126,17 @@
         # Shares leased during recovery must expire soon after its end.
         if now >= self._recovered_at:
             return SHARE_LEASE_SECONDS
-        left = self._recovered_at - now + RECOVERY_MARGIN_SECONDS
-        return min(SHARE_LEASE_SECONDS, left)
+        remaining = self._recovered_at - now + RECOVERY_MARGIN_SECONDS
+        return min(SHARE_LEASE_SECONDS, remaining)
 
     def _fair_share(self, holder: _Holder, now: float) -> float:
         """Return the holder's share in proportion to the wanted shares."""
-        wants = [
+        wanted_shares = [
             one.wanted
             for one in self._holders.values()
             if now < one.wanted_until
         ]
-        total = sum(wants)
+        total = sum(wanted_shares)
         if total <= 0:
             return 0.0
         return (_FULL_SHARE - NEW_POOL_SHARE) * holder.wanted / total
--- a/jacinthfold/quota/permits.py
+++ b/jacinthfold/quota/permits.py
@@ -30,7 +30,7 @@
 REJECTION_CACHE_SECONDS = 0.1
 # Retry delay when no pool responds: by then failed hosts are detected.
 NO_POOL_RETRY_SECONDS = 0.6
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 class Permit:
@@ -189,7 +189,8 @@
     if response.retry_after_ms is None:
         return None
     return CapRejection(
-        response.retry_after_ms / _MS, is_over_cap=response.is_over_cap
+        response.retry_after_ms / _MS_PER_SECOND,
+        is_over_cap=response.is_over_cap,
     )
 
 
--- a/jacinthfold/quota/pool.py
+++ b/jacinthfold/quota/pool.py
@@ -20,14 +20,14 @@
 # Requests that may wait for a pool's first share; further ones are rejected.
 MAX_WAITING_REQUESTS = 100
 # Factor on the measured demand, since the measurement lags behind a rise.
-DEMAND_MARGIN = 1.3
+DEMAND_FACTOR = 1.3
 MIN_WANTED_SHARE = 0.02
 # Retry delay where the bucket can't tell when it will hold enough tokens.
 DEFAULT_RETRY_SECONDS = 0.5
 MAX_RETRY_SECONDS = 4.0
 # Retry delay without any share: an issuer is replaced in a second or two.
 NO_SHARE_RETRY_SECONDS = 1.0
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 class CapRejection:
@@ -71,7 +71,7 @@
         # dropped must continue with higher request numbers, else its issuer
         # takes its requests for outdated ones. Numbers that start from the
         # clock in milliseconds do: pools send far less than one in each.
-        first_number = int(now * _MS)
+        first_number = int(now * _MS_PER_SECOND)
         self.shares = tuple(Share(first_number) for _ in range(HALVES))
         self.demand = Demand(now)
         self._bucket = TokenBucket(now)
@@ -137,18 +137,18 @@
 
     def wanted(self, now: float) -> float:
         """Return the share of each half that the recent demand needs."""
-        rate = self.demand.per_second(now) * DEMAND_MARGIN
+        rate = self.demand.per_second(now) * DEMAND_FACTOR
         wanted = rate / self.cap_rate.per_second + MIN_WANTED_SHARE
         if self.cap_rate.burst > 0:
             wanted += self.demand.largest_cost(now) / self.cap_rate.burst
         # If one issuer doesn't respond, the other half covers all the demand.
-        lending = sum(one.held(now) > 0 for one in self.shares)
-        return wanted * HALVES / max(1, lending)
+        leased_halves = sum(one.held(now) > 0 for one in self.shares)
+        return wanted * HALVES / max(1, leased_halves)
 
     def _may_wait_for_share(self, now: float) -> bool:
         # The first request after a pause makes the pool request a share.
-        is_short = len(self._waiting) < MAX_WAITING_REQUESTS
-        return is_short and self.held(now) <= 0
+        has_queue_space = len(self._waiting) < MAX_WAITING_REQUESTS
+        return has_queue_space and self.held(now) <= 0
 
     def _expire_shares(self, now: float) -> None:
         # Tokens above the remaining burst expire with a share, since the next
--- a/tests/gateway/test_caps.py
+++ b/tests/gateway/test_caps.py
@@ -47,12 +47,12 @@
     return deployment
 
 
-def ask_with(deployment, name, key):
+def send_with_key(deployment, name, key):
     return deployment.ask(name, '/order/x', headers=[bearer(key)])
 
 
 def is_served(deployment, name):
-    return ask_with(deployment, name, CAPPED).status == 200
+    return send_with_key(deployment, name, CAPPED).status == 200
 
 
 def test_cap_limits_an_organisation_over_all_hosts(capped):
@@ -64,13 +64,15 @@
     statuses = []
     began_at = time.monotonic()
     for number in range(80):
-        answer = ask_with(capped, ('north-a', 'north-b')[number % 2], CAPPED)
-        statuses.append(answer.status)
-        if answer.status == 429:
-            assert float(answer.headers['retry-after']) > 0
+        response = send_with_key(
+            capped, ('north-a', 'north-b')[number % 2], CAPPED
+        )
+        statuses.append(response.status)
+        if response.status == 429:
+            assert float(response.headers['retry-after']) > 0
         pause(0.02)
         if number % 10 == 0:
-            assert ask_with(capped, 'north-a', FREE).status == 200
+            assert send_with_key(capped, 'north-a', FREE).status == 200
     ran = [
         one
         for one in capped.targets['i-1'].executed
@@ -92,7 +94,7 @@
     pause(1.5)
     statuses = []
     for _ in range(15):
-        statuses.append(ask_with(capped, 'north-a', CAPPED).status)
+        statuses.append(send_with_key(capped, 'north-a', CAPPED).status)
         pause(0.02)
     assert set(statuses) == {503}
 
@@ -128,14 +130,14 @@
 
 def test_state_and_metrics_show_shares(capped):
     host = capped.hosts['north-a']
-    ask_with(capped, 'north-a', CAPPED)
+    send_with_key(capped, 'north-a', CAPPED)
     assert b'cap_shares' in call(host.control, '/state').body
     assert b'cap_shares_held' in call(host.metrics, '/metrics').body
 
 
 def test_removed_cap_no_longer_applies(capped):
     """The operator removes a cap while its organisation exceeds it."""
-    while ask_with(capped, 'north-a', CAPPED).status == 200:
+    while send_with_key(capped, 'north-a', CAPPED).status == 200:
         pass
     version = capped.put_routes(
         route('/order/'), tenants=[tenant('capped', CAPPED)]
@@ -143,5 +145,6 @@
     capped.wait_log('north-a', f'version={version}')
     pause(0.1)
     assert all(
-        ask_with(capped, 'north-a', CAPPED).status == 200 for _ in range(20)
+        send_with_key(capped, 'north-a', CAPPED).status == 200
+        for _ in range(20)
     )
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -45,7 +45,7 @@
     return deployment.targets['i-1'].executed
 
 
-def ask_with(deployment, *headers, path='/order/x'):
+def send_with_headers(deployment, *headers, path='/order/x'):
     return deployment.ask('north-a', path, headers=headers)
 
 
@@ -55,8 +55,8 @@
     The target must run the request for the owner of the key, and must not
     receive the key, which would end up in its log.
     """
-    answer = ask_with(keyed, bearer(KEY), ('Tenant', 'south'))
-    assert answer.status == 200
+    response = send_with_headers(keyed, bearer(KEY), ('Tenant', 'south'))
+    assert response.status == 200
     headers = ran(keyed)[0].headers
     assert headers['tenant'] == 'north'
     assert 'authorization' not in headers
@@ -64,13 +64,15 @@
 
 @pytest.mark.parametrize('key', ['second-key', KEY])
 def test_each_key_of_an_organisation_serves(keyed, key):
-    assert ask_with(keyed, bearer(key)).status == 200
+    assert send_with_headers(keyed, bearer(key)).status == 200
     assert ran(keyed)[0].headers['tenant'] == 'north'
 
 
 def test_public_route_is_served_without_key_or_organisation(keyed):
-    answer = ask_with(keyed, bearer(KEY), ('Tenant', 'south'), path='/open/x')
-    assert answer.status == 200
+    response = send_with_headers(
+        keyed, bearer(KEY), ('Tenant', 'south'), path='/open/x'
+    )
+    assert response.status == 200
     headers = ran(keyed)[0].headers
     assert 'tenant' not in headers
     assert 'authorization' not in headers
@@ -99,11 +101,11 @@
 
     The response is final, nothing runs, and the host keeps serving.
     """
-    answer = ask_with(keyed, *headers)
-    assert answer.status == 401
-    assert answer.headers['www-authenticate'] == 'Bearer'
+    response = send_with_headers(keyed, *headers)
+    assert response.status == 401
+    assert response.headers['www-authenticate'] == 'Bearer'
     assert not ran(keyed)
-    assert ask_with(keyed, bearer(KEY)).status == 200
+    assert send_with_headers(keyed, bearer(KEY)).status == 200
 
 
 def test_key_moves_to_another_organisation(keyed):
@@ -129,8 +131,8 @@
 
 
 def test_key_appears_in_no_log_and_no_dump(keyed):
-    ask_with(keyed, bearer(KEY))
-    ask_with(keyed, bearer('nobody-holds-this'))
+    send_with_headers(keyed, bearer(KEY))
+    send_with_headers(keyed, bearer('nobody-holds-this'))
     host = keyed.hosts['north-a']
     shown = host.log() + ask(host.control, '/state').body.decode()
     shown += ask(host.metrics, '/metrics').body.decode()
@@ -168,7 +170,7 @@
     deployment.add_target('i-1', 'desk')
     deployment.start_host('north-a')
     wait_served(deployment, 'north-a', '/order/x')
-    ask_with(deployment, bearer(KEY), ('Tenant', 'x'))
+    send_with_headers(deployment, bearer(KEY), ('Tenant', 'x'))
     headers = ran(deployment)[-1].headers
     assert headers['authorization'] == f'Bearer {KEY}'
     assert headers['tenant'] == 'x'
@@ -235,13 +237,13 @@
 
 
 def document(*tenants, version=5):
-    made = {
+    content = {
         'version': version,
         'routes': [route('/a/')],
         'backends': [service('desk')],
         'tenants': list(tenants),
     }
-    return json.dumps(made).encode()
+    return json.dumps(content).encode()
 
 
 @pytest.mark.parametrize(
@@ -272,11 +274,11 @@
     """
     with pytest.raises(UnreadableRecordError):
         PlatformReader().read_routes(document(*tenants))
-    made, heard = catalogue()
-    made.apply([record(document(tenant('north', KEY)), 1)], 1)
-    made.apply([record(document(*tenants, version=6), 2)], 2)
-    assert made.routes.version == 5
-    assert heard == [('routes', 5)]
+    reader, notifications = catalogue()
+    reader.apply([record(document(tenant('north', KEY)), 1)], 1)
+    reader.apply([record(document(*tenants, version=6), 2)], 2)
+    assert reader.routes.version == 5
+    assert notifications == [('routes', 5)]
 
 
 def record(content, revision):
@@ -314,10 +316,10 @@
     )
     deployment.add_target('i-1', 'desk')
     deployment.start_host('north-a', revocation_ms=5000)
-    answer = deployment.ask(
+    response = deployment.ask(
         'north-a', '/order/x', headers=[bearer(OTHER)], seconds=4
     )
-    assert answer.status == 503
-    assert float(answer.headers['retry-after']) >= 1
+    assert response.status == 503
+    assert float(response.headers['retry-after']) >= 1
     deployment.wait_log('north-a', 'reason=no_region')
     assert not ran(deployment)
--- a/tests/gateway/test_quarantine.py
+++ b/tests/gateway/test_quarantine.py
@@ -29,10 +29,10 @@
         route('/quote/', 'desk', 'idempotent'),
         route('/order/', 'desk'),
     )
-    made = EndingTargets(deployment)
+    targets = EndingTargets(deployment)
     for data_centre in ('north-1', 'north-1', 'south-1', 'south-1'):
-        made.add(data_centre)
-        made.add(data_centre, 'desk')
+        targets.add(data_centre)
+        targets.add(data_centre, 'desk')
     first = deployment.make_host('north-a')
     seeds = f'{first.control[0]}:{first.control[1]}'
     first.start()
@@ -46,11 +46,11 @@
             lambda name=name: send(deployment, name, b'early').status == 200,
             f'{name} serves',
         )
-    return made
+    return targets
 
 
 def send(deployment, host, body, path='/ask/x', **options):
-    return deployment.ask(host, path, 'POST', body=body, **options)
+    return deployment.send_repeatedly(host, path, 'POST', body=body, **options)
 
 
 def send_until_crashed(engines, count, path='/ask/x', body=FATAL, hosts=HOSTS):
@@ -85,8 +85,8 @@
         send(engines.deployment, host, FATAL, path)
     assert len(engines.arrived) - arrived <= MAX_MORE_SENDS
     for host in HOSTS:
-        answer = send(engines.deployment, host, b'another', path)
-        assert answer.status == 200
+        response = send(engines.deployment, host, b'another', path)
+        assert response.status == 200
 
 
 def test_refusal_says_not_run_and_when_to_retry(engines):
@@ -98,11 +98,11 @@
     wait_refused(engines)
     arrived = len(engines.arrived)
     for host in HOSTS:
-        answer = send(engines.deployment, host, FATAL, request_id='asked')
-        assert answer.status == 429
-        assert answer.headers['attempt-id'] == 'asked'
-        assert float(answer.headers['retry-after']) > 60
-        assert answer.body.startswith(b'error: not run')
+        response = send(engines.deployment, host, FATAL, request_id='asked')
+        assert response.status == 429
+        assert response.headers['attempt-id'] == 'asked'
+        assert float(response.headers['retry-after']) > 60
+        assert response.body.startswith(b'error: not run')
     assert len(engines.arrived) == arrived
 
 
@@ -111,13 +111,13 @@
     send_until_crashed(engines, 3)
     wait_refused(engines)
     engines.fatal.clear()
-    answer = send(
+    response = send(
         engines.deployment,
         'north-a',
         FATAL,
         headers=[('Authorization', 'Bearer another')],
     )
-    assert answer.status == 200
+    assert response.status == 200
     assert send(engines.deployment, 'north-a', FATAL).status == 429
 
 
@@ -130,22 +130,24 @@
     is_over = threading.Event()
     refused = []
 
-    def ask(number):
+    def send_repeatedly(number):
         while not is_over.is_set():
             body = b'innocent %d' % number
-            answer = send(deployment, 'north-a', body, '/review/x')
-            if answer.status == 429:
+            response = send(deployment, 'north-a', body, '/review/x')
+            if response.status == 429:
                 refused.append(number)
 
-    crowd = [threading.Thread(target=ask, args=(n,)) for n in range(6)]
-    for thread in crowd:
+    bystanders = [
+        threading.Thread(target=send_repeatedly, args=(n,)) for n in range(6)
+    ]
+    for thread in bystanders:
         thread.start()
     try:
         send_until_crashed(engines, 3, '/review/x')
         wait_refused(engines, '/review/x')
     finally:
         is_over.set()
-        for thread in crowd:
+        for thread in bystanders:
             thread.join()
     assert refused == []
     for number in range(6):
@@ -223,11 +225,11 @@
     for name in south:
         deployment.targets[name].script = standin.say_nothing
     waiting = threading.Thread(
-        target=lambda: answers.append(
+        target=lambda: responses.append(
             send(deployment, 'south-a', FATAL, seconds=20)
         )
     )
-    answers = []
+    responses = []
     waiting.start()
     wait_until(
         lambda: any(deployment.targets[name].executed for name in south),
@@ -235,7 +237,7 @@
     )
     send_until_crashed(engines, 3, hosts=['north-a', 'north-b'])
     waiting.join()
-    assert answers[0].status == 502
+    assert responses[0].status == 502
     assert any(deployment.targets[name].left for name in south)
 
 
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -35,8 +35,8 @@
 
 def allowed(per_second, burst, window=WINDOW):
     """Return the limit of a window."""
-    owed = per_second * window.seconds + burst
-    return owed * (1 + window.excess) + window.slack
+    regular_limit = per_second * window.seconds + burst
+    return regular_limit * (1 + window.excess) + window.slack
 
 
 def share_response(half, number, share, seconds=SHARE_LEASE_SECONDS):
@@ -124,8 +124,10 @@
 
         def deliver_response(lease):
             if holder.incarnation == incarnation:
-                made = share_response(half, number, lease.share, lease.seconds)
-                pool.handle_response(made, self.now)
+                response = share_response(
+                    half, number, lease.share, lease.seconds
+                )
+                pool.handle_response(response, self.now)
 
         self.send(deliver_request, holder.name)
 
@@ -209,7 +211,7 @@
     """Simulate regions with a demand in requests of 2,400 tokens a second."""
     simulation = Simulation(seed)
     simulation.random.choice = lambda options: options[2]
-    asked = refused = 0
+    requested = rejected = 0
     for tick in range(int(seconds / 0.05)):
         for holder, per_second in zip(simulation.holders, demands, strict=True):
             if tick % 5 == 0:
@@ -219,16 +221,16 @@
             )
             for _ in range(due):
                 if simulation.now > 100 + SHARE_LEASE_SECONDS + 1:
-                    asked += 1
+                    requested += 1
                     before = len(holder.granted)
                     holder.acquire(2400, simulation.now)
                     # A short wait is no rejection.
                     if len(holder.granted) == before:
-                        refused += not holder.pool.has_waiting
+                        rejected += not holder.pool.has_waiting
                 else:
                     holder.acquire(2400, simulation.now)
         simulation.step()
-    return asked, refused
+    return requested, rejected
 
 
 @pytest.mark.parametrize(
@@ -240,9 +242,9 @@
     Either one region has its peak while the others are idle, or all are equal.
     A split that doesn't follow the demand would reject most requests.
     """
-    asked, refused = simulate_steady_demand(demands)
-    assert asked > 50
-    assert refused <= 0.01 * asked
+    requested, rejected = simulate_steady_demand(demands)
+    assert requested > 50
+    assert rejected <= 0.01 * requested
 
 
 def test_share_follows_a_peak_to_another_region_within_two_seconds():
@@ -286,8 +288,8 @@
     now = 2 * SHARE_LEASE_SECONDS
     first = issuer.grant('a', 1, 1, held=0, wanted=1, now=now)
     assert first.share == pytest.approx(0.9)
-    lent = issuer.grant('b', 1, 1, held=0, wanted=1, now=now + 1)
-    assert lent.share == pytest.approx(0.1)
+    second = issuer.grant('b', 1, 1, held=0, wanted=1, now=now + 1)
+    assert second.share == pytest.approx(0.1)
     later = now + SHARE_LEASE_SECONDS + 0.1
     last = issuer.grant('b', 1, 2, held=0.1, wanted=1, now=later)
     assert last.share > 0.8
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -227,7 +227,7 @@
         'address': '10.0.0.1',
         'ports': (1, 2, 3),
     }
-    made = decode(
+    message = decode(
         msgspec.json.encode(
             {
                 'host': document,
@@ -239,8 +239,8 @@
             }
         )
     )
-    made.suspects = list(reports)
-    return made
+    message.suspects = list(reports)
+    return message
 
 
 class PreviousHeartbeat(msgspec.Struct):
@@ -361,13 +361,13 @@
 def partitioned_hosts(store, count):
     """Return hosts that reach the store but not each other."""
     clock = FakeClock()
-    made = [
+    hosts = [
         Quarantine(TargetTable({}, clock), store, clock) for _ in range(count)
     ]
-    for host in made:
+    for host in hosts:
         host.apply_record('key', b'a key')
         store.listeners.append(host)
-    return made
+    return hosts
 
 
 def record_crash_at(host, incarnation_id):
--- a/tests/gateway/test_witness.py
+++ b/tests/gateway/test_witness.py
@@ -72,11 +72,11 @@
 
 @pytest.fixture
 def harness(monkeypatch):
-    made = Harness(monkeypatch)
+    harness_with_targets = Harness(monkeypatch)
     for instance in ('i-1', 'i-2', 'i-3'):
-        made.scene.add(instance)
-    made.learn_heads()
-    return made
+        harness_with_targets.scene.add(instance)
+    harness_with_targets.learn_heads()
+    return harness_with_targets
 
 
 def test_broken_connections_of_a_listening_target_are_no_crash(harness):
@@ -189,25 +189,25 @@
     fingerprints = Fingerprints()
     scene = Scene()
 
-    def made(**changes):
+    def fingerprint(**changes):
         request = scene.request()
         for name, content in changes.items():
             holder = request if hasattr(request, name) else request.facts
             setattr(holder, name, content)
         return fingerprints.of(request)
 
-    assert made() == ''
+    assert fingerprint() == ''
     fingerprints.set_key(b'a key')
-    same = made(body=b'one')
-    assert same == made(body=b'one')
+    same = fingerprint(body=b'one')
+    assert same == fingerprint(body=b'one')
     others = {
-        made(body=b'two'),
-        made(body=b'one', caller='Bearer other'),
-        made(body=b'one', method=b'PUT'),
-        made(body=b'one', target=b'/y'),
-        made(body=b'one', host_name='other.example'),
-        made(body=b'', target=b'/xone'),
+        fingerprint(body=b'two'),
+        fingerprint(body=b'one', caller='Bearer other'),
+        fingerprint(body=b'one', method=b'PUT'),
+        fingerprint(body=b'one', target=b'/y'),
+        fingerprint(body=b'one', host_name='other.example'),
+        fingerprint(body=b'', target=b'/xone'),
     }
     assert len(others | {same}) == 7
     fingerprints.set_key(b'another key')
-    assert made(body=b'one') != same
+    assert fingerprint(body=b'one') != same
--- a/tools/ablations/quarantine.py
+++ b/tools/ablations/quarantine.py
@@ -64,7 +64,7 @@
         [
             (
                 'quarantine/suspects.py',
-                '            self._clear(fingerprint, suspect, self._now_ms(), is_own=True)',
+                '            self._clear(\n                fingerprint, suspect, self._now_ms(), is_new_in_region=True\n            )',
                 '            return',
             ),
         ],
@@ -86,8 +86,8 @@
         [
             (
                 'quarantine/suspects.py',
-                'if left <= 0 or self._is_explained(fingerprint, suspect):',
-                'if left <= 0:',
+                'if remaining <= 0 or self._is_explained(fingerprint, suspect):',
+                'if remaining <= 0:',
             ),
         ],
         SUSPECTS + 'test_stream_that_runs_beside_the_culprit_is_not_refused',
@@ -132,7 +132,13 @@
     ),
     Ablation(
         'quarantine: an overloaded cold target blames no request',
-        [('quarantine/crash_detector.py', '0 < pace < sends', 'sends < 0')],
+        [
+            (
+                'quarantine/crash_detector.py',
+                '0 < overrun_rate < send_count',
+                'send_count < 0',
+            )
+        ],
         WITNESS + 'test_crash_of_an_overloaded_cold_target_blames_no_request',
     ),
     Ablation(
