--- a/tests/gateway/test_quarantine.py
+++ b/tests/gateway/test_quarantine.py
@@ -50,7 +50,7 @@
 
 
 def send(deployment, host, body, path='/ask/x', **options):
-    return deployment.send_repeatedly(host, path, 'POST', body=body, **options)
+    return deployment.ask(host, path, 'POST', body=body, **options)
 
 
 def send_until_crashed(engines, count, path='/ask/x', body=FATAL, hosts=HOSTS):
