--- a/jacinthfold/quarantine/store_writer.py
+++ b/jacinthfold/quarantine/store_writer.py
@@ -36,7 +36,7 @@
 # neighbours know them.
 MAX_WAITING_RECORDS = 512
 
-_end_decoder = msgspec.json.Decoder(Crash)
+_crash_decoder = msgspec.json.Decoder(Crash)
 _served_decoder = msgspec.json.Decoder(int)
 
 
@@ -109,7 +109,9 @@
     fingerprint, _, incarnation_id = name.partition('/')
     try:
         if incarnation_id:
-            return SuspectReport(fingerprint, 0, [_end_decoder.decode(content)])
+            return SuspectReport(
+                fingerprint, 0, [_crash_decoder.decode(content)]
+            )
         return SuspectReport(fingerprint, _served_decoder.decode(content), [])
     except (ValueError, RecursionError) as error:
         raise UnreadableRecordError(str(error)) from error
--- a/jacinthfold/quota/coordinator.py
+++ b/jacinthfold/quota/coordinator.py
@@ -45,11 +45,11 @@
         for permit_response in datagram.permit_answers:
             self.permits.handle_response(permit_response)
         for share_request in datagram.share_asks:
-            share_response = self.issuers.grant_share(
+            granted = self.issuers.grant_share(
                 datagram.sender, datagram.life, share_request
             )
-            if share_response is not None:
-                self.outbox.put(sender, share_response)
+            if granted is not None:
+                self.outbox.put(sender, granted)
         for share_response in datagram.share_answers:
             self.pools.handle_response(share_response)
         for refund in datagram.returned:
@@ -72,12 +72,12 @@
         )
         own = self._hosts.own
         if name == own.name:
-            share_response = self.issuers.grant_share(
+            granted = self.issuers.grant_share(
                 own.name, own.incarnation, share_request
             )
-            if share_response is not None:
-                self.pools.handle_response(share_response)
-            return share_response is not None
+            if granted is not None:
+                self.pools.handle_response(granted)
+            return granted is not None
         endpoint = self._hosts.place_of(name)
         if endpoint is None:
             return False
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -58,11 +58,11 @@
         self.pool = OrganisationPool(self.cap_rate, now)
 
     def acquire(self, cost, now):
-        def decide(after):
-            if after is None:
+        def on_decision(rejection):
+            if rejection is None:
                 self.granted.append((now, cost))
 
-        self.pool.acquire(cost, now, decide)
+        self.pool.acquire(cost, now, on_decision)
 
 
 class Simulation:
