--- a/jacinthfold/cli.py
+++ b/jacinthfold/cli.py
@@ -16,10 +16,10 @@
 from jacinthfold.version import VERSION
 
 PATH_TYPE = click.Path(path_type=Path)
-CONTEXT = {'help_option_names': ['-h', '--help']}
+CONTEXT_SETTINGS = {'help_option_names': ['-h', '--help']}
 
 
-@click.group(context_settings=CONTEXT)
+@click.group(context_settings=CONTEXT_SETTINGS)
 def program() -> None:
     """Route inference requests across regions through many entry hosts.
 
@@ -200,7 +200,7 @@
     return function
 
 
-def _place_options(function: Callable[..., Any]) -> Callable[..., Any]:
+def _location_options(function: Callable[..., Any]) -> Callable[..., Any]:
     for option in (
         click.option('--name', required=True, help='Name of the target.'),
         click.option('--region', required=True, help='Its region.'),
@@ -234,16 +234,16 @@
     env: Environment, request_id: str, files: tuple[TextIO, ...]
 ) -> None:
     """Tell a request's story from logs of hosts (FILES or standard input)."""
-    from jacinthfold.explain import story
+    from jacinthfold.explain import request_timeline
 
     lines = [line for one in files or (env.stdin,) for line in one]
-    told = story(lines, request_id)
-    if not told:
+    timeline = request_timeline(lines, request_id)
+    if not timeline:
         raise CommandError(
             f'no line about {request_id} in {len(lines)} lines',
             ExitStatus.ERROR,
         )
-    for line in told:
+    for line in timeline:
         click.echo(line, file=env.stdout)
 
 
@@ -264,7 +264,7 @@
 
 @standin.command('engine')
 @_standin_options
-@_place_options
+@_location_options
 @click.option('--model', 'models', multiple=True, help='A loaded model.')
 @click.option('--slots', default=16, help='Requests in one batch.')
 @click.option('--step-seconds', default=0.012, help='One decode step, alone.')
@@ -291,7 +291,7 @@
 
 @standin.command('service')
 @_standin_options
-@_place_options
+@_location_options
 @click.option('--journal', type=PATH_TYPE, help='File that keeps executions.')
 def standin_service(
     address: str,
--- a/jacinthfold/config.py
+++ b/jacinthfold/config.py
@@ -72,7 +72,7 @@
     except configparser.Error as error:
         message = ' '.join(str(error).split())
         raise SettingsError([f'not an INI file: {message}']) from error
-    faults = _unknown(parser)
+    faults = _unknown_key_faults(parser)
     sections = {}
     for name, options in OPTIONS.items():
         sections[name] = Section(read_section(parser, name, options, faults))
@@ -95,7 +95,7 @@
     return document
 
 
-def _unknown(parser: configparser.ConfigParser) -> list[str]:
+def _unknown_key_faults(parser: configparser.ConfigParser) -> list[str]:
     faults = [
         f'[{section}]: unknown section; allowed are {", ".join(OPTIONS)}'
         for section in parser.sections()
--- a/jacinthfold/explain.py
+++ b/jacinthfold/explain.py
@@ -13,7 +13,7 @@
 _TARGET = re.compile(r'\b(?:target|at)=(?P<target>\S+)')
 # Changes of belief this long before and during a request are part of its
 # story: a target that was set aside, a store that was lost.
-BELIEF_SECONDS = 5.0
+CONTEXT_SECONDS = 5.0
 
 
 class LogLine:
@@ -24,14 +24,14 @@
     def __init__(self, text: str) -> None:
         """Take a line of a log."""
         self.text = text.strip()
-        self.time = _group(_TIME, text, 'time')
-        self.host = _group(_HOST, text, 'host')
-        self.event = _group(_EVENT, text, 'event')
-        self.target = _group(_TARGET, text, 'target')
-        self.request_id = _group(_REQUEST, text, 'id').strip('"')
+        self.time = _first_match(_TIME, text, 'time')
+        self.host = _first_match(_HOST, text, 'host')
+        self.event = _first_match(_EVENT, text, 'event')
+        self.target = _first_match(_TARGET, text, 'target')
+        self.request_id = _first_match(_REQUEST, text, 'id').strip('"')
 
 
-def story(lines: Iterable[str], request_id: str) -> list[str]:
+def request_timeline(lines: Iterable[str], request_id: str) -> list[str]:
     """Return the lines about a request, in the order of their times.
 
     Lines about the targets that it met are included: they tell what its
@@ -43,17 +43,17 @@
         return []
     hosts = {line.host for line in own}
     targets = {line.target for line in own if line.target}
-    beliefs = [
+    context = [
         line
         for line in parsed
         if not line.request_id
         and line.host in hosts
         and (line.target in targets or line.event in _HOST_EVENTS)
     ]
-    told = sorted([*own, *beliefs], key=_when)
+    selected = sorted([*own, *context], key=_line_time)
     first = min(line.time for line in own)
     last = max(line.time for line in own)
-    return [line.text for line in told if _is_near(line, first, last)]
+    return [line.text for line in selected if _is_in_window(line, first, last)]
 
 
 _HOST_EVENTS = frozenset(
@@ -70,11 +70,11 @@
 )
 
 
-def _is_near(line: LogLine, first: str, last: str) -> bool:
+def _is_in_window(line: LogLine, first: str, last: str) -> bool:
     if line.request_id:
         return True
     return line.time <= last and _seconds(first) - _seconds(line.time) < (
-        BELIEF_SECONDS
+        CONTEXT_SECONDS
     )
 
 
@@ -85,10 +85,10 @@
         return 0.0
 
 
-def _when(line: LogLine) -> str:
+def _line_time(line: LogLine) -> str:
     return line.time
 
 
-def _group(pattern: re.Pattern[str], text: str, name: str) -> str:
+def _first_match(pattern: re.Pattern[str], text: str, name: str) -> str:
     found = pattern.search(text)
     return found.group(name) if found else ''
--- a/jacinthfold/gateway/adapter.py
+++ b/jacinthfold/gateway/adapter.py
@@ -9,16 +9,18 @@
 from jacinthfold.transport.dialect import Dialect
 
 
-class HostCalls(Protocol):
+class HostApi(Protocol):
     """Read and write the calls that callers make beside requests."""
 
-    def is_ready_call(self, target: str) -> bool:
+    def is_readiness_request(self, target: str) -> bool:
         """Tell whether a call asks if this host is ready."""
 
-    def read_directory_call(self, target: str) -> tuple[str, str, str] | None:
+    def parse_directory_request(
+        self, target: str
+    ) -> tuple[str, str, str] | None:
         """Return host name, region and data centre asked for, or None."""
 
-    def write_directory_answer(
+    def encode_directory_response(
         self, hosts: Iterable[HostRecord], seconds: int
     ) -> bytes:
         """Return the body that names entry hosts to a caller."""
@@ -27,17 +29,17 @@
 class Adapter:
     """Hold what translates between this product and its surroundings."""
 
-    __slots__ = ('calls', 'dialect', 'reader', 'store')
+    __slots__ = ('api', 'dialect', 'reader', 'store')
 
     def __init__(
         self,
         store: MetadataStore,
         reader: RecordReader,
         dialect: Dialect,
-        calls: HostCalls,
+        api: HostApi,
     ) -> None:
         """Take the translators."""
         self.store = store
         self.reader = reader
         self.dialect = dialect
-        self.calls = calls
+        self.api = api
--- a/jacinthfold/gateway/knowledge.py
+++ b/jacinthfold/gateway/cluster_view.py
@@ -20,7 +20,7 @@
 from jacinthfold.fleet.table import HostState, HostTable
 from jacinthfold.fleet.watchers import Watchers
 from jacinthfold.gateway.adapter import Adapter
-from jacinthfold.gateway.organisations import OrganisationDuties
+from jacinthfold.gateway.organisations import OrganisationAccess
 from jacinthfold.gateway.settings import GatewaySettings
 from jacinthfold.placement.budget import RetryBudgets
 from jacinthfold.placement.choice import Placer
@@ -34,12 +34,12 @@
 HOUSEKEEPING_SECONDS = 0.1
 # Who paces cold targets and shares budgets is followed this often: walking
 # through 195 hosts at each tick took 31 of the 650 ms that a calm one was busy.
-HOSTS_FOLLOWED_SECONDS = 0.4
+HOSTS_REFRESH_SECONDS = 0.4
 # What engines were learned to do is logged this often.
-LAWS_TOLD_SECONDS = 10.0
+LATENCY_MODELS_LOG_SECONDS = 10.0
 
 
-class Knowledge:
+class ClusterView:
     """Hold catalogue, targets, entry hosts and what is decided by them."""
 
     def __init__(
@@ -53,7 +53,7 @@
         """Put the parts together; nothing is known yet."""
         self.own = own
         self._clock = clock
-        self._idle_limits = [CallerLimits().idle_timeout_seconds]
+        self._idle_timeouts_seconds = [CallerLimits().idle_timeout_seconds]
         source = random.Random()
         self.pool = Pool(clock)
         self.hosts = HostTable(own, clock)
@@ -62,13 +62,13 @@
         self.catalogue.subscribe(self)
         self.follower = Follower(adapter.store, self.catalogue, clock)
         self.registration = Registration(adapter.store, own)
-        self.organisations = OrganisationDuties(
+        self.organisations = OrganisationAccess(
             settings, adapter.store, self.catalogue, self.hosts, clock
         )
         self.regions = RegionView(own.region, clock)
         self.regions.laws = self.targets.laws
-        self._laws_told_at = clock.monotonic()
-        self._followed_at = float('-inf')
+        self._latency_models_logged_at = clock.monotonic()
+        self._hosts_refreshed_at = float('-inf')
         self._pace = ColdPace(own.name, clock)
         self.placer = Placer(
             own.region, self.targets, self._pace, self.regions, clock, source
@@ -82,7 +82,7 @@
             clock,
         )
         self.heartbeats.content.reaches_store = self.reaches_store
-        self.organisations.join(self.follower, self.heartbeats)
+        self.organisations.connect(self.follower, self.heartbeats)
         self.snapshots = Snapshots(self.hosts, self.catalogue, caller, clock)
         watchers = Watchers(self.hosts)
         self.follower.watches = watchers.own_watches
@@ -97,9 +97,9 @@
             self.catalogue.routes is not None and watchers.own_watches()
         )
         self.heartbeats.content.suspects = self.quarantine.suspects
-        self.use(settings)
+        self.apply_settings(settings)
 
-    def use(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Take settings that may change while running."""
         self.heartbeats.seeds = settings.peers.seeds
         self.snapshots.seeds = settings.peers.seeds
@@ -121,16 +121,16 @@
             limits.head_bytes,
             limits.body_bytes,
             limits.head_timeout_seconds,
-            max(self._idle_limits),
+            max(self._idle_timeouts_seconds),
         )
 
     def on_routes(self, table: RouteTable) -> None:
         """Take a newer configuration."""
         self.targets.follow_services(table.services)
-        self.organisations.follow(table)
+        self.organisations.apply_routes(table)
         latest = table.limits.idle_timeout_seconds
-        self._idle_limits = [self._idle_limits[-1], latest]
-        self._become_ready()
+        self._idle_timeouts_seconds = [self._idle_timeouts_seconds[-1], latest]
+        self._activate_when_ready()
 
     def on_target(self, record: TargetRecord) -> None:
         """Take a target that came or changed."""
@@ -156,20 +156,20 @@
         """Take which host issues shares of caps, or that none does."""
         self.organisations.quota.issuers.take_record(name, record)
 
-    async def keep_house(self) -> None:
+    async def run_housekeeping(self) -> None:
         """Become ready, and drop what is gone, until cancelled."""
         while True:
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
-            self._become_ready()
-            self._follow_hosts_at_times()
+            self._activate_when_ready()
+            self._refresh_hosts_when_due()
             for target in self.targets.forget_gone():
                 self.pool.forget(target.place)
                 self.quarantine.witness.forget(target)
                 logs.event('target_gone', target=target.record.instance)
-            self._tell_laws()
+            self._log_latency_models()
             self.quarantine.suspects.forget_at_times()
 
-    def dump(self) -> dict[str, Any]:
+    def dump_state(self) -> dict[str, Any]:
         """Return what this host believes."""
         now = self._clock.monotonic()
         table = self.catalogue.routes
@@ -181,7 +181,7 @@
             'store_reached': self.follower.is_reached,
             'version': table.version if table else None,
             'evacuated': sorted(self.catalogue.evacuated),
-            **self.organisations.dump(),
+            **self.organisations.dump_state(),
             'hosts': [
                 {
                     'name': entry.record.name,
@@ -191,8 +191,8 @@
                 for entry in self.hosts.others()
             ],
             'engine_laws': {
-                service: law.fields()
-                for service, law in self.targets.laws.all().items()
+                service: latency_model.fields()
+                for service, latency_model in self.targets.laws.all().items()
             },
             'quarantined': self.quarantine.suspects.refused(),
             'targets': [
@@ -215,15 +215,15 @@
         is_followed = self.follower.is_reached or not self.follower.watches()
         return is_followed and self.registration.is_reached
 
-    def _tell_laws(self) -> None:
+    def _log_latency_models(self) -> None:
         now = self._clock.monotonic()
-        if now - self._laws_told_at < LAWS_TOLD_SECONDS:
+        if now - self._latency_models_logged_at < LATENCY_MODELS_LOG_SECONDS:
             return
-        self._laws_told_at = now
-        for service, law in self.targets.laws.all().items():
-            logs.event('engine_law', service=service, **law.fields())
+        self._latency_models_logged_at = now
+        for service, latency_model in self.targets.laws.all().items():
+            logs.event('engine_law', service=service, **latency_model.fields())
 
-    def _become_ready(self) -> None:
+    def _activate_when_ready(self) -> None:
         if self.hosts.own_state is not HostState.STARTING:
             return
         if self.catalogue.routes is None:
@@ -233,13 +233,13 @@
         self.heartbeats.beat()
         logs.event('host_ready', revision=self.catalogue.revision)
 
-    def _follow_hosts_at_times(self) -> None:
+    def _refresh_hosts_when_due(self) -> None:
         now = self._clock.monotonic()
-        if now - self._followed_at >= HOSTS_FOLLOWED_SECONDS:
-            self._followed_at = now
-            self._follow_hosts()
+        if now - self._hosts_refreshed_at >= HOSTS_REFRESH_SECONDS:
+            self._hosts_refreshed_at = now
+            self._refresh_hosts()
 
-    def _follow_hosts(self) -> None:
+    def _refresh_hosts(self) -> None:
         self._pace.follow_hosts(self.hosts.names_in(self.own.region))
         serving = self.hosts.serving(self.own.region)
         self.placer.limit_shares.follow_hosts(host.name for host in serving)
--- a/jacinthfold/gateway/handlers.py
+++ b/jacinthfold/gateway/handlers.py
@@ -13,7 +13,7 @@
     SnapshotCall,
     encode_snapshot,
 )
-from jacinthfold.gateway.adapter import HostCalls
+from jacinthfold.gateway.adapter import HostApi
 from jacinthfold.proxy.caller_answer import CallerAnswer, RawRequest
 from jacinthfold.proxy.metrics import ProxyMetrics
 from jacinthfold.request.messages import Headers
@@ -22,18 +22,18 @@
 TEXT_HEADERS: Headers = [(b'Content-Type', b'text/plain; version=0.0.4')]
 
 
-class ReadyHandler:
+class ReadinessHandler:
     """Tell whether this host takes callers."""
 
-    def __init__(self, calls: HostCalls, is_ready: Callable[[], bool]) -> None:
+    def __init__(self, api: HostApi, is_ready: Callable[[], bool]) -> None:
         """Take how the call looks and who knows."""
-        self._calls = calls
+        self._api = api
         self._is_ready = is_ready
 
     async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
         """Answer 200 or 503."""
         status = HTTPStatus.NOT_FOUND
-        if self._calls.is_ready_call(request.target.decode('latin-1')):
+        if self._api.is_readiness_request(request.target.decode('latin-1')):
             status = HTTPStatus.SERVICE_UNAVAILABLE
             if self._is_ready():
                 status = HTTPStatus.OK
@@ -43,24 +43,24 @@
 class DirectoryHandler:
     """Tell callers where to connect."""
 
-    def __init__(self, calls: HostCalls, directory: Directory) -> None:
+    def __init__(self, api: HostApi, directory: Directory) -> None:
         """Take how the call looks and who chooses."""
-        self._calls = calls
+        self._api = api
         self._directory = directory
 
     async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
         """Name entry hosts, or 503 when none is known to serve."""
-        asked = self._calls.read_directory_call(
+        query = self._api.parse_directory_request(
             request.target.decode('latin-1')
         )
-        if asked is None:
+        if query is None:
             await answer.whole(HTTPStatus.NOT_FOUND, [], b'')
             return
-        hosts = self._directory.resolve(*asked)
+        hosts = self._directory.resolve(*query)
         if not hosts:
             await answer.whole(HTTPStatus.SERVICE_UNAVAILABLE, [], b'')
             return
-        body = self._calls.write_directory_answer(hosts, ANSWER_SECONDS)
+        body = self._api.encode_directory_response(hosts, ANSWER_SECONDS)
         await answer.whole(HTTPStatus.OK, JSON_HEADERS, body)
 
 
@@ -68,12 +68,12 @@
     """Give snapshots to entry hosts and the state to operators."""
 
     def __init__(
-        self, catalogue: Catalogue, dump: Callable[[], dict[str, Any]]
+        self, catalogue: Catalogue, dump_state: Callable[[], dict[str, Any]]
     ) -> None:
         """Take what is told."""
         self._catalogue = catalogue
-        self._packed = PackedSnapshots(catalogue)
-        self._dump = dump
+        self._compressed_snapshots = PackedSnapshots(catalogue)
+        self._dump_state = dump_state
 
     async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
         """Answer a snapshot or the state."""
@@ -81,22 +81,22 @@
         path = target.partition('?')[0]
         if path == SNAPSHOT_PATH:
             try:
-                call = SnapshotCall(target)
+                snapshot_request = SnapshotCall(target)
             except ValueError:
                 await answer.whole(HTTPStatus.BAD_REQUEST, [], b'')
                 return
-            body = self._snapshot(call)
+            body = self._snapshot(snapshot_request)
         elif path == '/state':
-            body = json.dumps(self._dump(), indent=1).encode()
+            body = json.dumps(self._dump_state(), indent=1).encode()
         else:
             await answer.whole(HTTPStatus.NOT_FOUND, [], b'')
             return
         await answer.whole(HTTPStatus.OK, JSON_HEADERS, body)
 
-    def _snapshot(self, call: SnapshotCall) -> bytes:
-        if call.is_packed:
-            return self._packed.since(call.since)
-        return encode_snapshot(self._catalogue, call.since)
+    def _snapshot(self, snapshot_request: SnapshotCall) -> bytes:
+        if snapshot_request.is_packed:
+            return self._compressed_snapshots.since(snapshot_request.since)
+        return encode_snapshot(self._catalogue, snapshot_request.since)
 
 
 class MetricsHandler:
--- a/jacinthfold/gateway/node.py
+++ b/jacinthfold/gateway/node.py
@@ -17,8 +17,8 @@
 from jacinthfold.gateway import handlers, request_handlers
 from jacinthfold.gateway import settings as gateway_settings
 from jacinthfold.gateway.adapter import Adapter
-from jacinthfold.gateway.knowledge import Knowledge
-from jacinthfold.gateway.leaving import Leaving
+from jacinthfold.gateway.cluster_view import ClusterView
+from jacinthfold.gateway.drain import Drain
 from jacinthfold.gateway.settings import GatewaySettings
 from jacinthfold.proxy.attempts import Attempts
 from jacinthfold.proxy.forwarding import Forwarder
@@ -29,16 +29,16 @@
 SETTINGS_CHECK_SECONDS = 2.0
 # Share of the grace after which no connection is accepted any more: callers
 # ask the directory every few seconds, and the rest is for what is in flight.
-ACCEPT_SHARE = 0.75
+ACCEPT_GRACE_FRACTION = 0.75
 # Idle connections are closed after this, when callers have had an answer of
 # the directory that no longer names this host.
-LINGER_SECONDS = 2.5
+IDLE_CLOSE_DELAY_SECONDS = 2.5
 DRAIN_POLL_SECONDS = 0.05
 # Between a duty's failure and its next try: short beside the seconds within
 # which changes must be followed, long enough to bound the log.
-DUTY_PAUSE_SECONDS = 0.3
+TASK_RESTART_SECONDS = 0.3
 
-Duty = Callable[[], Coroutine[Any, Any, None]]
+BackgroundTask = Callable[[], Coroutine[Any, Any, None]]
 
 
 class GatewayNode:
@@ -57,72 +57,76 @@
         self._settings_path = settings_path
         self._clock = clock
         self._tasks: set[asyncio.Task[None]] = set()
-        self._stop_asked = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self.metrics = ProxyMetrics()
-        self._leaving = Leaving(clock)
+        self._drain = Drain(clock)
         own = _own_record(settings)
-        self._knowledge = Knowledge(own, settings, adapter, caller, clock)
+        self._view = ClusterView(own, settings, adapter, caller, clock)
         self._build_listeners(adapter)
-        self.metrics.in_flight.set_function(self._in_service)
+        self.metrics.in_flight.set_function(self._in_flight_count)
         self.metrics.store_revision.set_function(
-            lambda: self._knowledge.catalogue.revision
+            lambda: self._view.catalogue.revision
         )
-        self.metrics.lines_left_out.set_function(logs.lines_left_out)
+        self.metrics.lines_left_out.set_function(logs.dropped_line_count)
 
     async def run(self) -> None:
         """Serve until asked to stop."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._stop_asked.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         await self._start()
-        await self._stop_asked.wait()
+        await self._stop_requested.wait()
         await self._stop()
 
     def _build_listeners(self, adapter: Adapter) -> None:
-        known, listen = self._knowledge, self.settings.listen
+        view, listen = self._view, self.settings.listen
         dialect = adapter.dialect
         forwarder = Forwarder(
-            known.placer,
+            view.placer,
             Attempts(
-                known.pool,
-                known.hosts,
-                known.regions,
-                known.budgets,
+                view.pool,
+                view.hosts,
+                view.regions,
+                view.budgets,
                 dialect,
                 self.metrics,
-                known.quarantine.witness,
+                view.quarantine.witness,
                 self._clock,
             ),
-            known.budgets,
-            known.quarantine,
-            known.organisations.admission(known.quarantine, self.metrics),
+            view.budgets,
+            view.quarantine,
+            view.organisations.build_admission(view.quarantine, self.metrics),
             dialect,
             self.metrics,
             self._clock,
         )
         caller_handler = request_handlers.CallerHandler(
-            known.catalogue,
-            known.organisations.key_gate,
+            view.catalogue,
+            view.organisations.key_gate,
             forwarder,
             dialect,
-            self._leaving,
+            self._drain,
             self._clock,
         )
         relay_handler = request_handlers.RelayHandler(
-            known.organisations.key_gate,
+            view.organisations.key_gate,
             forwarder,
             dialect,
-            self._leaving,
+            self._drain,
             self._clock,
         )
-        ready_handler = handlers.ReadyHandler(adapter.calls, known.is_ready)
-        directory = Directory(known.hosts, known.catalogue, Random())
-        directory.own_reaches_store = known.reaches_store
-        directory_handler = handlers.DirectoryHandler(adapter.calls, directory)
-        control_handler = handlers.ControlHandler(known.catalogue, known.dump)
+        readiness_handler = handlers.ReadinessHandler(
+            adapter.api, view.is_ready
+        )
+        directory = Directory(view.hosts, view.catalogue, Random())
+        directory.own_reaches_store = view.reaches_store
+        directory_handler = handlers.DirectoryHandler(adapter.api, directory)
+        control_handler = handlers.ControlHandler(
+            view.catalogue, view.dump_state
+        )
         metrics_handler = handlers.MetricsHandler(self.metrics)
-        address = known.own.address
+        address = view.own.address
         self._callers = self._listener(
             'callers', listen.callers, caller_handler
         )
@@ -130,7 +134,7 @@
             'relay', (address, listen.relay_port), relay_handler
         )
         self._listeners = [
-            self._listener('ready', listen.ready, ready_handler),
+            self._listener('ready', listen.ready, readiness_handler),
             self._listener('directory', listen.directory, directory_handler),
             self._listener('control', listen.control, control_handler),
             self._listener(
@@ -141,45 +145,45 @@
         ]
 
     def _listener(
-        self, name: str, place: tuple[str, int], handler: Handler
+        self, name: str, endpoint: tuple[str, int], handler: Handler
     ) -> Listener:
-        return Listener(name, place, handler, self._knowledge.limits)
+        return Listener(name, endpoint, handler, self._view.limits)
 
     async def _start(self) -> None:
-        known = self._knowledge
-        await known.heartbeats.start()
+        view = self._view
+        await view.heartbeats.start()
         await asyncio.gather(
             *(listener.start() for listener in self._listeners)
         )
-        for duty in (
-            known.follower.run,
-            known.organisations.prover.run,
-            known.organisations.quota.issuers.run,
-            known.organisations.quota.pools.run,
-            known.registration.run,
-            known.heartbeats.run,
-            known.snapshots.run,
-            known.pool.run,
-            known.keep_house,
-            known.quarantine.key_maker.run,
-            known.quarantine.writer.run,
+        for background_task in (
+            view.follower.run,
+            view.organisations.freshness_checker.run,
+            view.organisations.quota.issuers.run,
+            view.organisations.quota.pools.run,
+            view.registration.run,
+            view.heartbeats.run,
+            view.snapshots.run,
+            view.pool.run,
+            view.run_housekeeping,
+            view.quarantine.key_maker.run,
+            view.quarantine.writer.run,
             self._watch_settings,
         ):
-            self._begin(supervised(duty))
+            self._start_task(supervised(background_task))
         logs.event(
             'host_started',
-            region=known.own.region,
-            data_centre=known.own.data_centre,
-            address=known.own.address,
-            incarnation=known.own.incarnation,
+            region=view.own.region,
+            data_centre=view.own.data_centre,
+            address=view.own.address,
+            incarnation=view.own.incarnation,
         )
 
-    def _begin(self, duty: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(duty)
+    def _start_task(self, background_task: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(background_task)
         self._tasks.add(task)
-        task.add_done_callback(self._on_duty_end)
+        task.add_done_callback(self._on_task_done)
 
-    def _on_duty_end(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
@@ -201,44 +205,46 @@
             logs.error('reload_failed', reason=str(error))
             return
         self.settings = settings
-        self._knowledge.use(settings)
+        self._view.apply_settings(settings)
         logs.event('settings_reloaded', path=str(self._settings_path))
 
     async def _stop(self) -> None:
-        known, grace = self._knowledge, self.settings.stop.grace_seconds
-        self._leaving.begin(grace)
+        view, grace = self._view, self.settings.stop.grace_seconds
+        self._drain.begin(grace)
         logs.event(
-            'host_leaving', in_flight=self._in_service(), grace_seconds=grace
+            'host_leaving',
+            in_flight=self._in_flight_count(),
+            grace_seconds=grace,
         )
-        known.hosts.own_state = HostState.LEAVING
-        known.heartbeats.announce()
+        view.hosts.own_state = HostState.LEAVING
+        view.heartbeats.announce()
         self._callers.is_leaving = True
         self._relay.is_leaving = True
-        self._begin(known.registration.leave())
-        self._begin(known.organisations.quota.issuers.leave())
-        await self._linger(grace)
-        logs.event('host_stopped', cut_off=self._in_service())
+        self._start_task(view.registration.leave())
+        self._start_task(view.organisations.quota.issuers.leave())
+        await self._wait_until_drained(grace)
+        logs.event('host_stopped', cut_off=self._in_flight_count())
 
-    async def _linger(self, grace_seconds: float) -> None:
-        while self._clock.monotonic() < self._leaving.ends_at:
+    async def _wait_until_drained(self, grace_seconds: float) -> None:
+        while self._clock.monotonic() < self._drain.ends_at:
             await asyncio.sleep(DRAIN_POLL_SECONDS)
-            elapsed = self._leaving.elapsed_seconds
-            if elapsed < LINGER_SECONDS:
+            elapsed = self._drain.elapsed_seconds
+            if elapsed < IDLE_CLOSE_DELAY_SECONDS:
                 continue
             self._callers.close_idle()
-            is_closing = elapsed >= grace_seconds * ACCEPT_SHARE
+            is_closing = elapsed >= grace_seconds * ACCEPT_GRACE_FRACTION
             if is_closing:
                 self._callers.stop_accepting()
                 self._relay.stop_accepting()
             is_unused = is_closing or not self._callers.connection_count
-            if is_unused and not self._in_service():
+            if is_unused and not self._in_flight_count():
                 return
 
-    def _in_service(self) -> int:
+    def _in_flight_count(self) -> int:
         return self._callers.in_service_count + self._relay.in_service_count
 
 
-async def supervised(duty: Duty) -> None:
+async def supervised(duty: BackgroundTask) -> None:
     """Run a duty again whenever it fails, until cancelled."""
     # A duty that ends unseen leaves a host that looks well and follows
     # nothing: requests go to targets that left long ago. Ending the process
@@ -250,7 +256,7 @@
             logs.error(
                 'duty_failed', duty=duty.__qualname__, reason=repr(error)
             )
-            await asyncio.sleep(DUTY_PAUSE_SECONDS)
+            await asyncio.sleep(TASK_RESTART_SECONDS)
         else:
             return
 
--- a/jacinthfold/gateway/organisations.py
+++ b/jacinthfold/gateway/organisations.py
@@ -20,7 +20,7 @@
 _MS = 1000
 
 
-class OrganisationDuties:
+class OrganisationAccess:
     """Hold keys, proofs of what is known of them, and caps."""
 
     def __init__(
@@ -32,31 +32,33 @@
         clock: Clock,
     ) -> None:
         """Put the parts together."""
-        found = settings.organisations
-        bound_seconds = found.revocation_ms / _MS or None
+        options = settings.organisations
+        bound_seconds = options.revocation_ms / _MS or None
         self.key_gate = KeyGate(catalogue, bound_seconds)
-        window = Window(found.window_seconds, found.excess_ratio, found.slack)
+        window = Window(
+            options.window_seconds, options.excess_ratio, options.slack
+        )
         self.quota = QuotaOffice(hosts, store, window, clock)
-        self.prover = Prover(store, catalogue, clock)
+        self.freshness_checker = Prover(store, catalogue, clock)
         self._heartbeats: Heartbeats | None = None
 
-    def join(self, follower: Follower, heartbeats: Heartbeats) -> None:
+    def connect(self, follower: Follower, heartbeats: Heartbeats) -> None:
         """Take who watches the store, and whose socket carries messages."""
-        self.prover.watches = lambda: follower.watches()
+        self.freshness_checker.watches = lambda: follower.watches()
         heartbeats.takers[QUOTA_MARK] = self.quota.take
         self.quota.post.send = heartbeats.send
         self._heartbeats = heartbeats
 
-    def follow(self, table: RouteTable) -> None:
+    def apply_routes(self, table: RouteTable) -> None:
         """Take newer organisations."""
         self.quota.pools.follow(table)
         # Reads and bytes are spent on it only where keys must end in time.
         is_needed = bool(len(table.organisations)) and self.key_gate.is_bounded
-        self.prover.is_needed = is_needed
+        self.freshness_checker.is_needed = is_needed
         if self._heartbeats is not None:
             self._heartbeats.proofs.is_told = is_needed
 
-    def admission(
+    def build_admission(
         self, quarantine: Quarantine, metrics: ProxyMetrics
     ) -> Admission:
         """Return what looks at requests before each send."""
@@ -68,7 +70,7 @@
         metrics.parts_issued.set_function(lambda: len(quota.issuers.parts()))
         return Admission(self.key_gate, quarantine, quota.permits, metrics)
 
-    def dump(self) -> dict[str, object]:
+    def dump_state(self) -> dict[str, object]:
         """Return what this host believes of keys and caps."""
         return {
             'knowledge_age_seconds': self.key_gate.age_seconds,
--- a/jacinthfold/gateway/request_handlers.py
+++ b/jacinthfold/gateway/request_handlers.py
@@ -5,7 +5,7 @@
 from jacinthfold import logs
 from jacinthfold.catalogue.records import Catalogue
 from jacinthfold.clock import Clock
-from jacinthfold.gateway.leaving import Leaving
+from jacinthfold.gateway.drain import Drain
 from jacinthfold.proxy import relay_header
 from jacinthfold.proxy.admission import STALE_RETURN_SECONDS
 from jacinthfold.proxy.caller_answer import CallerAnswer, RawRequest
@@ -18,9 +18,9 @@
 CHALLENGE = (b'WWW-Authenticate', b'Bearer')
 # A host that knows no routes yet asks peers and the store several times in
 # this long.
-NOT_READY_SECONDS = 0.5
+NOT_READY_RETRY_SECONDS = 0.5
 # Another host can serve at once; this one is about to stop.
-OTHER_HOST_SECONDS = 0.05
+OTHER_HOST_RETRY_SECONDS = 0.05
 
 
 class CallerHandler:
@@ -29,15 +29,15 @@
     def __init__(
         self,
         catalogue: Catalogue,
-        gate: KeyGate,
+        key_gate: KeyGate,
         forwarder: Forwarder,
         dialect: Dialect,
-        leaving: Leaving,
+        drain: Drain,
         clock: Clock,
     ) -> None:
         """Take the routes, the keys and who serves."""
-        self._gate = gate
-        self._leaving = leaving
+        self._key_gate = key_gate
+        self._drain = drain
         self._catalogue = catalogue
         self._forwarder = forwarder
         self._dialect = dialect
@@ -53,80 +53,80 @@
             logs.warning('request_malformed', status=400, reason=str(error))
             await answer.whole(HTTPStatus.BAD_REQUEST, [], b'')
             return
-        work = Request(
+        parsed = Request(
             request.method, request.target, headers, request.body, facts
         )
-        work.received_at = now
-        own = self._dialect.own_headers(facts.request_id)
+        parsed.received_at = now
+        id_headers = self._dialect.own_headers(facts.request_id)
         table = self._catalogue.routes
         if table is None:
-            self._log_unrouted(work, HTTPStatus.SERVICE_UNAVAILABLE, 0)
-            retry = self._dialect.retry_headers(NOT_READY_SECONDS)
+            self._log_unrouted(parsed, HTTPStatus.SERVICE_UNAVAILABLE, 0)
+            retry_after = self._dialect.retry_headers(NOT_READY_RETRY_SECONDS)
             await answer.whole(
-                HTTPStatus.SERVICE_UNAVAILABLE, [*own, *retry], b''
+                HTTPStatus.SERVICE_UNAVAILABLE, [*id_headers, *retry_after], b''
             )
             return
-        route = table.find(facts.host_name, work.path)
+        route = table.find(facts.host_name, parsed.path)
         if route is None:
-            self._log_unrouted(work, HTTPStatus.NOT_FOUND, table.version)
-            await answer.whole(HTTPStatus.NOT_FOUND, own, b'')
+            self._log_unrouted(parsed, HTTPStatus.NOT_FOUND, table.version)
+            await answer.whole(HTTPStatus.NOT_FOUND, id_headers, b'')
             return
-        work.route = route
+        parsed.route = route
         if len(table.organisations):
-            status = self._identify(work)
+            status = self._identify(parsed)
             if status is not HTTPStatus.OK:
-                await self._turn_away(work, status, answer)
+                await self._reject_unidentified(parsed, status, answer)
                 return
-        work.service_name = route.service_for(facts.request_id)
-        patience = route.timeout_seconds
+        parsed.service_name = route.service_for(facts.request_id)
+        allowed_seconds = route.timeout_seconds
         if facts.patience_seconds is not None:
-            patience = min(patience, facts.patience_seconds)
-        work.deadline = now + patience
-        if not self._leaving.may_take(work):
-            await _refuse_leaving(work, self._dialect, answer)
+            allowed_seconds = min(allowed_seconds, facts.patience_seconds)
+        parsed.deadline = now + allowed_seconds
+        if not self._drain.may_accept(parsed):
+            await _reject_draining(parsed, self._dialect, answer)
             return
-        await self._forwarder.serve(work, answer)
+        await self._forwarder.serve(parsed, answer)
 
-    def _identify(self, work: Request) -> HTTPStatus:
+    def _identify(self, parsed: Request) -> HTTPStatus:
         """Find who calls; return 200, or the status to answer with."""
-        work.headers = self._dialect.without_credentials(work.headers)
-        work.facts.caller = ''
-        if work.route.is_public:
+        parsed.headers = self._dialect.without_credentials(parsed.headers)
+        parsed.facts.caller = ''
+        if parsed.route.is_public:
             return HTTPStatus.OK
-        if not self._gate.is_fresh:
+        if not self._key_gate.is_fresh:
             return HTTPStatus.SERVICE_UNAVAILABLE
-        organisation = self._gate.holder(work.facts.key_digest)
+        organisation = self._key_gate.holder(parsed.facts.key_digest)
         if organisation is None:
-            if self._gate.may_deny:
+            if self._key_gate.may_deny:
                 return HTTPStatus.UNAUTHORIZED
             return HTTPStatus.SERVICE_UNAVAILABLE
-        work.organisation = organisation
+        parsed.organisation = organisation
         # The quarantine knows callers apart by this.
-        work.facts.caller = organisation.name
+        parsed.facts.caller = organisation.name
         return HTTPStatus.OK
 
-    async def _turn_away(
-        self, work: Request, status: HTTPStatus, answer: CallerAnswer
+    async def _reject_unidentified(
+        self, parsed: Request, status: HTTPStatus, answer: CallerAnswer
     ) -> None:
         logs.event(
             'request_not_identified',
-            request=work.facts.request_id,
+            request=parsed.facts.request_id,
             status=int(status),
-            knowledge_age_seconds=self._gate.age_seconds,
+            knowledge_age_seconds=self._key_gate.age_seconds,
         )
-        headers = self._dialect.own_headers(work.facts.request_id)
+        headers = self._dialect.own_headers(parsed.facts.request_id)
         if status is HTTPStatus.UNAUTHORIZED:
             headers.append(CHALLENGE)
         else:
             headers += self._dialect.retry_headers(STALE_RETURN_SECONDS)
         await answer.whole(status, headers, b'')
 
-    def _log_unrouted(self, work: Request, status: int, version: int) -> None:
+    def _log_unrouted(self, parsed: Request, status: int, version: int) -> None:
         logs.event(
             'request_unrouted',
-            request=work.facts.request_id,
-            host_name=work.facts.host_name,
-            path=work.path,
+            request=parsed.facts.request_id,
+            host_name=parsed.facts.host_name,
+            path=parsed.path,
             status=int(status),
             version=version,
         )
@@ -137,15 +137,15 @@
 
     def __init__(
         self,
-        gate: KeyGate,
+        key_gate: KeyGate,
         forwarder: Forwarder,
         dialect: Dialect,
-        leaving: Leaving,
+        drain: Drain,
         clock: Clock,
     ) -> None:
         """Take who calls and who serves."""
-        self._gate = gate
-        self._leaving = leaving
+        self._key_gate = key_gate
+        self._drain = drain
         self._forwarder = forwarder
         self._dialect = dialect
         self._clock = clock
@@ -154,53 +154,55 @@
         """Serve a request under the route that came with it."""
         try:
             facts = self._dialect.read_request(request.headers)
-            work = Request(
+            parsed = Request(
                 request.method,
                 request.target,
                 request.headers,
                 request.body,
                 facts,
             )
-            caller = relay_header.read(work, self._clock.monotonic())
+            caller = relay_header.read(parsed, self._clock.monotonic())
         except (ValueError, KeyError) as error:
             logs.warning('relay_malformed', reason=repr(error))
             await answer.whole(HTTPStatus.BAD_REQUEST, [], b'')
             return
-        work.headers = relay_header.without_internal(work.headers)
+        parsed.headers = relay_header.without_internal(parsed.headers)
         if caller:
-            work.organisation = self._gate.named(caller)
-            work.facts.caller = caller
-            if work.organisation is None:
+            parsed.organisation = self._key_gate.named(caller)
+            parsed.facts.caller = caller
+            if parsed.organisation is None:
                 # Not known yet, or not any more: the other host may know more.
-                await _refuse_relayed(work, self._dialect, answer)
+                await _reject_unknown_organisation(
+                    parsed, self._dialect, answer
+                )
                 return
-        if not self._leaving.may_take(work):
-            await _refuse_leaving(work, self._dialect, answer)
+        if not self._drain.may_accept(parsed):
+            await _reject_draining(parsed, self._dialect, answer)
             return
-        await self._forwarder.serve(work, answer)
+        await self._forwarder.serve(parsed, answer)
 
 
-async def _refuse_leaving(
-    work: Request, dialect: Dialect, answer: CallerAnswer
+async def _reject_draining(
+    parsed: Request, dialect: Dialect, answer: CallerAnswer
 ) -> None:
     """Send a caller to another host."""
-    logs.event('request_refused_leaving', request=work.facts.request_id)
-    await _refuse(work, dialect, answer)
+    logs.event('request_refused_leaving', request=parsed.facts.request_id)
+    await _reject(parsed, dialect, answer)
 
 
-async def _refuse_relayed(
-    work: Request, dialect: Dialect, answer: CallerAnswer
+async def _reject_unknown_organisation(
+    parsed: Request, dialect: Dialect, answer: CallerAnswer
 ) -> None:
     """Tell another host that nobody is known here for whom it asks."""
-    logs.event('request_refused_unknown', request=work.facts.request_id)
-    await _refuse(work, dialect, answer)
+    logs.event('request_refused_unknown', request=parsed.facts.request_id)
+    await _reject(parsed, dialect, answer)
 
 
-async def _refuse(
-    work: Request, dialect: Dialect, answer: CallerAnswer
+async def _reject(
+    parsed: Request, dialect: Dialect, answer: CallerAnswer
 ) -> None:
-    headers = dialect.own_headers(work.facts.request_id)
-    headers += dialect.retry_headers(OTHER_HOST_SECONDS)
-    if work.is_relayed:
+    headers = dialect.own_headers(parsed.facts.request_id)
+    headers += dialect.retry_headers(OTHER_HOST_RETRY_SECONDS)
+    if parsed.is_relayed:
         headers += relay_header.told(relay_header.TOLD_NOT_RUN)
     await answer.whole(HTTPStatus.SERVICE_UNAVAILABLE, headers, b'')
--- a/jacinthfold/gateway/settings.py
+++ b/jacinthfold/gateway/settings.py
@@ -6,24 +6,26 @@
 from typing import Any
 
 from jacinthfold.config import Section, SettingsError, read_section
-from jacinthfold.options import Option, choice, number, text, whole
+from jacinthfold.options import Option, decimal, integer, one_of, printable_text
 
 PORT_LIMIT = 65535
 
 
-def _place(written: str) -> tuple[str, int]:
-    address, _, port = written.rpartition(':')
+def _parse_endpoint(value: str) -> tuple[str, int]:
+    address, _, port = value.rpartition(':')
     if not address:
         raise ValueError
-    return address, whole(1, PORT_LIMIT)(port)
+    return address, integer(1, PORT_LIMIT)(port)
 
 
-def _places(written: str) -> tuple[tuple[str, int], ...]:
-    return tuple(_place(entry.strip()) for entry in written.split(',') if entry)
+def _parse_endpoints(value: str) -> tuple[tuple[str, int], ...]:
+    return tuple(
+        _parse_endpoint(entry.strip()) for entry in value.split(',') if entry
+    )
 
 
-def _first_port(written: str) -> int:
-    return whole(1, PORT_LIMIT)(written.split(',')[0])
+def _parse_first_port(value: str) -> int:
+    return integer(1, PORT_LIMIT)(value.split(',')[0])
 
 
 def _required(
@@ -32,36 +34,50 @@
     return Option(read, allowed, help_text)
 
 
-PLACE = 'an IP number and a port, as 10.0.0.1:8000'
+ENDPOINT_FORMAT = 'an IP number and a port, as 10.0.0.1:8000'
 
 # Every setting, in the order of docs/SETTINGS.md.
 GATEWAY_OPTIONS: dict[str, dict[str, Option]] = {
     'host': {
-        'name': _required(text, 'a text', 'name of this entry host, unique'),
-        'region': _required(text, 'a text', 'region it stands in'),
-        'data_centre': _required(text, 'a text', 'data centre it stands in'),
-        'address': _required(text, 'an IP number', 'address of this host'),
+        'name': _required(
+            printable_text, 'a text', 'name of this entry host, unique'
+        ),
+        'region': _required(printable_text, 'a text', 'region it stands in'),
+        'data_centre': _required(
+            printable_text, 'a text', 'data centre it stands in'
+        ),
+        'address': _required(
+            printable_text, 'an IP number', 'address of this host'
+        ),
         'log_level': Option(
-            choice('DEBUG', 'INFO', 'WARNING', 'ERROR'),
+            one_of('DEBUG', 'INFO', 'WARNING', 'ERROR'),
             'DEBUG, INFO, WARNING or ERROR',
             'least severity that is logged',
             'INFO',
         ),
     },
     'listen': {
-        'callers': _required(_place, PLACE, 'callers: requests'),
-        'ready': _required(_place, PLACE, 'readiness checks'),
-        'directory': _required(_place, PLACE, 'callers: where to connect'),
+        'callers': _required(
+            _parse_endpoint, ENDPOINT_FORMAT, 'callers: requests'
+        ),
+        'ready': _required(
+            _parse_endpoint, ENDPOINT_FORMAT, 'readiness checks'
+        ),
+        'directory': _required(
+            _parse_endpoint, ENDPOINT_FORMAT, 'callers: where to connect'
+        ),
         'control': _required(
-            _place, PLACE, 'entry hosts: heartbeats and snapshots; state dump'
+            _parse_endpoint,
+            ENDPOINT_FORMAT,
+            'entry hosts: heartbeats and snapshots; state dump',
         ),
         'relay_port': _required(
-            _first_port,
+            _parse_first_port,
             f'whole numbers from 1 to {PORT_LIMIT}; the first is used',
             'entry hosts: requests passed on',
         ),
         'metrics_port': Option(
-            whole(1, PORT_LIMIT),
+            integer(1, PORT_LIMIT),
             f'a whole number from 1 to {PORT_LIMIT}',
             'counters and histograms, as text under /metrics',
             '9464',
@@ -69,30 +85,32 @@
     },
     'peers': {
         'seeds': Option(
-            _places,
-            f'{PLACE}, with commas between',
+            _parse_endpoints,
+            f'{ENDPOINT_FORMAT}, with commas between',
             'control addresses of some entry hosts, for the first contact',
             '',
         ),
     },
     'store': {
-        'address': _required(_place, PLACE, 'the metadata store'),
+        'address': _required(
+            _parse_endpoint, ENDPOINT_FORMAT, 'the metadata store'
+        ),
     },
     'retries': {
         'ratio': Option(
-            number(0, 1),
+            decimal(0, 1),
             'a number from 0 to 1',
             'repeats for each request, over all hosts',
             '0.2',
         ),
         'slack': Option(
-            number(0, 100000),
+            decimal(0, 100000),
             'a number from 0 to 100000',
             'repeats in a window beyond the ratio, over all hosts',
             '50',
         ),
         'window_seconds': Option(
-            number(1, 600),
+            decimal(1, 600),
             'seconds from 1 to 600',
             'length of the sliding window',
             '10',
@@ -100,25 +118,25 @@
     },
     'organisations': {
         'revocation_ms': Option(
-            number(0, 600000),
+            decimal(0, 600000),
             'milliseconds from 0 to 600000',
             'no key runs this long after it was taken away; 0: no such bound',
             '0',
         ),
         'window_seconds': Option(
-            number(1, 600),
+            decimal(1, 600),
             'seconds from 1 to 600',
             'length of the sliding window in which caps are counted',
             '8',
         ),
         'excess_ratio': Option(
-            number(0, 10),
+            decimal(0, 10),
             'a number from 0 to 10',
             'what may run in a window beyond a cap, as a share of it',
             '0',
         ),
         'slack': Option(
-            number(0, 1000000000),
+            decimal(0, 1000000000),
             'a number from 0 to 1000000000',
             'what may run in a window beyond that, in units of the cap',
             '0',
@@ -126,7 +144,7 @@
     },
     'stop': {
         'grace_seconds': Option(
-            number(1, 600),
+            decimal(1, 600),
             'seconds from 1 to 600',
             'time from SIGTERM to the end, whatever is in flight',
             '8',
--- a/jacinthfold/log_writer.py
+++ b/jacinthfold/log_writer.py
@@ -10,12 +10,12 @@
     from loguru import Message
 
 # Lines that may wait for the reader of the output; some 1 MB of memory.
-LINE_LIMIT = 4096
+QUEUE_CAPACITY_LINES = 4096
 # Ordinary lines are left out once this many wait, so that a reader that
 # stands still costs ordinary lines before it costs warnings.
-ORDINARY_LIMIT = 3072
+ORDINARY_CAPACITY_LINES = 3072
 # Ordinary lines a second, a few for each request of a busy host.
-ORDINARY_PER_SECOND = 1500
+ORDINARY_LINES_PER_SECOND = 1500
 FLUSH_POLL_SECONDS = 0.005
 _WARNING_SEVERITY = 30
 
@@ -26,25 +26,25 @@
     def __init__(self, descriptor: int) -> None:
         """Take the file descriptor to write to."""
         self._descriptor = descriptor
-        self._lines: queue.Queue[bytes] = queue.Queue(LINE_LIMIT)
-        self._window = 0.0
+        self._lines: queue.Queue[bytes] = queue.Queue(QUEUE_CAPACITY_LINES)
+        self._window_started_at = 0.0
         self._window_count = 0
-        self.left_out = 0
-        self._told_left_out = 0
+        self.dropped_count = 0
+        self._reported_count = 0
         threading.Thread(
             target=self._write_forever, name='logs', daemon=True
         ).start()
 
-    def take(self, message: 'Message') -> None:
+    def queue_line(self, message: 'Message') -> None:
         """Queue a line, or leave it out."""
         is_warning = message.record['level'].no >= _WARNING_SEVERITY
-        if not is_warning and not self._has_room():
-            self.left_out += 1
+        if not is_warning and not self._accepts_ordinary():
+            self.dropped_count += 1
             return
         try:
             self._lines.put_nowait(str(message).encode())
         except queue.Full:
-            self.left_out += 1
+            self.dropped_count += 1
 
     def flush(self, timeout_seconds: float) -> None:
         """Wait until all lines are written, at most for a time."""
@@ -54,40 +54,40 @@
         while self._lines.unfinished_tasks and time.monotonic() < deadline:
             time.sleep(FLUSH_POLL_SECONDS)
 
-    def _has_room(self) -> bool:
+    def _accepts_ordinary(self) -> bool:
         now = time.monotonic()
-        if now - self._window >= 1:
-            self._window = now
+        if now - self._window_started_at >= 1:
+            self._window_started_at = now
             self._window_count = 0
         self._window_count += 1
         return (
-            self._window_count <= ORDINARY_PER_SECOND
-            and self._lines.qsize() < ORDINARY_LIMIT
+            self._window_count <= ORDINARY_LINES_PER_SECOND
+            and self._lines.qsize() < ORDINARY_CAPACITY_LINES
         )
 
     def _write_forever(self) -> None:
         while True:
             lines = [self._lines.get()]
-            while not self._lines.empty() and len(lines) < LINE_LIMIT:
+            while not self._lines.empty() and len(lines) < QUEUE_CAPACITY_LINES:
                 lines.append(self._lines.get_nowait())
             count = len(lines)
-            lines.extend(self._note_left_out())
+            lines.extend(self._dropped_notice())
             self._write(b''.join(lines))
             for _ in range(count):
                 self._lines.task_done()
 
-    def _note_left_out(self) -> list[bytes]:
-        count = self.left_out - self._told_left_out
+    def _dropped_notice(self) -> list[bytes]:
+        count = self.dropped_count - self._reported_count
         if not count:
             return []
-        self._told_left_out += count
+        self._reported_count += count
         return [f'level=warning event=lines_left_out count={count}\n'.encode()]
 
     def _write(self, content: bytes) -> None:
-        rest = memoryview(content)
-        while rest:
+        remaining = memoryview(content)
+        while remaining:
             try:
-                rest = rest[os.write(self._descriptor, rest) :]
+                remaining = remaining[os.write(self._descriptor, remaining) :]
             except BlockingIOError:
                 time.sleep(0.05)
             except OSError:
--- a/jacinthfold/logs.py
+++ b/jacinthfold/logs.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from loguru import Record
 
-PLAIN = frozenset('-_.:/,@')
+UNQUOTED_CHARACTERS = frozenset('-_.:/,@')
 _writers: list[BoundedWriter] = []
 
 
@@ -22,18 +22,18 @@
     logger.add(sys.stderr, level=level, format=_format, enqueue=False)
 
 
-def set_up_bounded(level: str, host_name: str) -> None:
+def set_up_non_blocking(level: str, host_name: str) -> None:
     """Log to standard output; never wait for its reader."""
     logger.remove()
     logger.configure(extra={'host': host_name})
     writer = BoundedWriter(sys.stdout.fileno())
     _writers.append(writer)
-    logger.add(writer.take, level=level, format=_format, enqueue=False)
+    logger.add(writer.queue_line, level=level, format=_format, enqueue=False)
 
 
-def lines_left_out() -> int:
+def dropped_line_count() -> int:
     """Return how many lines were left out since the start."""
-    return sum(writer.left_out for writer in _writers)
+    return sum(writer.dropped_count for writer in _writers)
 
 
 def flush(timeout_seconds: float) -> None:
@@ -64,7 +64,8 @@
         f'event={record["message"]}',
     ]
     pairs.extend(
-        f'{name}={_shown(value)}' for name, value in record['extra'].items()
+        f'{name}={_quote_if_needed(value)}'
+        for name, value in record['extra'].items()
     )
     line = ' '.join(pairs)
     # loguru formats what we return once more: braces must be doubled.
@@ -72,10 +73,12 @@
     return f'{escaped}\n'
 
 
-def _shown(value: Any) -> str:
+def _quote_if_needed(value: Any) -> str:
     if isinstance(value, float):
         return f'{value:.6g}'
     text = str(value)
-    if text and all(char.isalnum() or char in PLAIN for char in text):
+    if text and all(
+        char.isalnum() or char in UNQUOTED_CHARACTERS for char in text
+    ):
         return text
     return json.dumps(text, ensure_ascii=False)
--- a/jacinthfold/options.py
+++ b/jacinthfold/options.py
@@ -28,7 +28,7 @@
         self.default = default
 
 
-def text(value: str) -> str:
+def printable_text(value: str) -> str:
     if not value or not value.isprintable():
         raise ValueError
     return value
@@ -55,41 +55,41 @@
     for entry in value.split():
         address, _, port = entry.rpartition(':')
         seeds.append(
-            (_address(address.strip('[]')), whole(1, PORT_LIMIT)(port))
+            (_address(address.strip('[]')), integer(1, PORT_LIMIT)(port))
         )
     return tuple(seeds)
 
 
-def _between(
-    kind: Callable[[str], Any], low: float, high: float, text: str
+def _check_range(
+    kind: Callable[[str], Any], low: float, high: float, value: str
 ) -> Any:
-    number = kind(text)
-    if not low <= number <= high:
+    converted = kind(value)
+    if not low <= converted <= high:
         raise ValueError
-    return number
+    return converted
 
 
-def whole(low: int, high: int) -> Callable[[str], int]:
-    return partial(_between, int, low, high)
+def integer(low: int, high: int) -> Callable[[str], int]:
+    return partial(_check_range, int, low, high)
 
 
-def number(low: float, high: float) -> Callable[[str], float]:
-    return partial(_between, float, low, high)
+def decimal(low: float, high: float) -> Callable[[str], float]:
+    return partial(_check_range, float, low, high)
 
 
-def _one_of(choices: tuple[str, ...], text: str) -> str:
-    if text not in choices:
+def _check_choice(choices: tuple[str, ...], value: str) -> str:
+    if value not in choices:
         raise ValueError
-    return text
+    return value
 
 
-def choice(*choices: str) -> Callable[[str], str]:
-    return partial(_one_of, choices)
+def one_of(*choices: str) -> Callable[[str], str]:
+    return partial(_check_choice, choices)
 
 
 def _port(help_text: str) -> Option:
     return Option(
-        whole(1, PORT_LIMIT),
+        integer(1, PORT_LIMIT),
         f'a whole number from 1 to {PORT_LIMIT}',
         help_text,
     )
@@ -100,30 +100,34 @@
     help_text = (
         f'port that reaches {name} from outside, if another; 0: the same'
     )
-    return Option(whole(0, PORT_LIMIT), allowed, help_text, '0')
+    return Option(integer(0, PORT_LIMIT), allowed, help_text, '0')
 
 
 def _seconds(low: float, high: float, default: str, help_text: str) -> Option:
     allowed = f'seconds from {low:g} to {high:g}'
-    return Option(number(low, high), allowed, help_text, default)
+    return Option(decimal(low, high), allowed, help_text, default)
 
 
 def _count(low: int, high: int, default: str, help_text: str) -> Option:
     allowed = f'a whole number from {low} to {high}'
-    return Option(whole(low, high), allowed, help_text, default)
+    return Option(integer(low, high), allowed, help_text, default)
 
 
 def _ratio(low: float, high: float, default: str, help_text: str) -> Option:
     allowed = f'a number from {low:g} to {high:g}'
-    return Option(number(low, high), allowed, help_text, default)
+    return Option(decimal(low, high), allowed, help_text, default)
 
 
 # Every setting, in the order of docs/SETTINGS.md.
 OPTIONS: dict[str, dict[str, Option]] = {
     'host': {
-        'name': Option(text, 'a text', 'name of this entry host, unique'),
-        'region': Option(text, 'a text', 'region it stands in'),
-        'data_centre': Option(text, 'a text', 'data centre it stands in'),
+        'name': Option(
+            printable_text, 'a text', 'name of this entry host, unique'
+        ),
+        'region': Option(printable_text, 'a text', 'region it stands in'),
+        'data_centre': Option(
+            printable_text, 'a text', 'data centre it stands in'
+        ),
         'address': Option(
             _address, 'an IP number', 'address for all of its listeners'
         ),
@@ -134,7 +138,7 @@
         'advertised_peer_port': _mapped_port('peer_port'),
         'advertised_relay_port': _mapped_port('relay_port'),
         'log_level': Option(
-            choice('DEBUG', 'INFO', 'WARNING', 'ERROR'),
+            one_of('DEBUG', 'INFO', 'WARNING', 'ERROR'),
             'DEBUG, INFO, WARNING or ERROR',
             'least severity that is logged',
             'INFO',
@@ -292,7 +296,7 @@
             0.1, 300, '2', 'time that a failing target stays out'
         ),
         'policy': Option(
-            choice('weighted', 'round_robin', 'least_requests', 'prefix_hash'),
+            one_of('weighted', 'round_robin', 'least_requests', 'prefix_hash'),
             'weighted, round_robin, least_requests or prefix_hash',
             'how targets are chosen; all but the first are for comparison',
             'weighted',
--- a/jacinthfold/platform/calls.py
+++ b/jacinthfold/platform/api.py
@@ -10,14 +10,16 @@
 DIRECTORY_PATH = '/api/resolve'
 
 
-class PlatformCalls:
+class PlatformApi:
     """Read and write the calls beside requests."""
 
-    def is_ready_call(self, target: str) -> bool:
+    def is_readiness_request(self, target: str) -> bool:
         """Tell whether a call asks if this host is ready."""
         return urlsplit(target).path == READY_PATH
 
-    def read_directory_call(self, target: str) -> tuple[str, str, str] | None:
+    def parse_directory_request(
+        self, target: str
+    ) -> tuple[str, str, str] | None:
         """Return host name, region and data centre asked for, or None."""
         parts = urlsplit(target)
         if parts.path != DIRECTORY_PATH:
@@ -28,7 +30,7 @@
         )
         return name.lower(), region, zone
 
-    def write_directory_answer(
+    def encode_directory_response(
         self, hosts: Iterable[HostRecord], seconds: int
     ) -> bytes:
         """Return the body that names entry hosts to a caller."""
--- a/jacinthfold/platform/dialect.py
+++ b/jacinthfold/platform/dialect.py
@@ -15,21 +15,21 @@
 )
 
 REQUEST_ID = b'Attempt-Id'
-DEADLINE = b'Request-Deadline'
-INSTANCE = b'Target-Instance'
+REQUEST_DEADLINE = b'Request-Deadline'
+TARGET_INSTANCE = b'Target-Instance'
 LAST_EVENT_ID = b'Last-Event-Id'
-NOT_RUN = b'Not-Executed'
-SEAL = b'Response-Seal'
-COLD = b'Warmup-Remaining'
-PROMPT_PARTS = b'Prompt-Prefix'
-TOKENS = b'Token-Usage'
-PRIORITY = b'Request-Priority'
-COPY_FROM = b'Kv-Fetch'
+NOT_EXECUTED = b'Not-Executed'
+RESPONSE_SEAL = b'Response-Seal'
+WARMUP_REMAINING = b'Warmup-Remaining'
+PROMPT_PREFIX = b'Prompt-Prefix'
+TOKEN_USAGE = b'Token-Usage'
+REQUEST_PRIORITY = b'Request-Priority'
+KV_FETCH = b'Kv-Fetch'
 RETRY_AFTER = b'Retry-After'
-LIMIT = b'Server-Limit'
-LEAVING = b'Server-Leaving'
-CREDENTIALS = b'Authorization'
-ORGANISATION = b'Tenant'
+SERVER_LIMIT = b'Server-Limit'
+SERVER_LEAVING = b'Server-Leaving'
+AUTHORIZATION = b'Authorization'
+TENANT = b'Tenant'
 
 # Headers of a request that only this system may set: what a caller sends
 # under these names is dropped.
@@ -39,26 +39,29 @@
         b'pin-duration',
         b'kv-backup',
         b'kv-from',
-        COPY_FROM.lower(),
-        INSTANCE.lower(),
-        PRIORITY.lower(),
+        KV_FETCH.lower(),
+        TARGET_INSTANCE.lower(),
+        REQUEST_PRIORITY.lower(),
         b'expect-version',
     )
 )
 # Where callers have keys, neither comes from them to a target.
-CREDENTIAL_HEADERS = frozenset((CREDENTIALS.lower(), ORGANISATION.lower()))
-REPLACED_HEADERS = SYSTEM_HEADERS | {DEADLINE.lower(), LAST_EVENT_ID.lower()}
+CREDENTIAL_HEADERS = frozenset((AUTHORIZATION.lower(), TENANT.lower()))
+REPLACED_HEADERS = SYSTEM_HEADERS | {
+    REQUEST_DEADLINE.lower(),
+    LAST_EVENT_ID.lower(),
+}
 # Urgency 0 is first, 9 last; routes rank from 0.
 PRIORITY_LIMIT = 9
 # Far above any prompt; a million of them still fit 64 bits.
 TOKENS_LIMIT = 1_000_000_000
 # Requests a second beyond which a limit is a mistake of its writer.
-MOST_PER_SECOND = 1_000_000.0
+MAX_LIMIT_PER_SECOND = 1_000_000.0
 # Longer rests are asked for again after this: a mistaken word must not take a
 # target away for good.
-MOST_REST_SECONDS = 60.0
+MAX_BACKOFF_SECONDS = 60.0
 # Characters of an unreadable number that are logged.
-SHOWN_CHARACTERS = 20
+LOGGED_CHARACTERS = 20
 _MS = 1000
 _DECIMAL = re.compile(r'[0-9]{1,12}(\.[0-9]{1,30})?')
 
@@ -70,34 +73,36 @@
         """Return what a request's headers say; raise ValueError."""
         host = first_header(headers, b'host').decode('latin-1')
         facts = RequestFacts(
-            _text(headers, REQUEST_ID), host.rsplit(':', 1)[0].lower()
+            _header_text(headers, REQUEST_ID), host.rsplit(':', 1)[0].lower()
         )
-        facts.caller = _text(headers, CREDENTIALS)
-        facts.key_digest = bearer_digest(_all(headers, CREDENTIALS))
-        deadline_ms = _text(headers, DEADLINE)
+        facts.caller = _header_text(headers, AUTHORIZATION)
+        facts.key_digest = bearer_digest(_header_values(headers, AUTHORIZATION))
+        deadline_ms = _header_text(headers, REQUEST_DEADLINE)
         if deadline_ms:
             facts.patience_seconds = float(deadline_ms) / _MS
-        tokens = _text(headers, TOKENS)
+        tokens = _header_text(headers, TOKEN_USAGE)
         if tokens:
             prompt, _, output = tokens.partition(',')
-            facts.prompt_tokens = _tokens(prompt)
-            facts.output_tokens = _tokens(output)
-        facts.parts = _parts(_text(headers, PROMPT_PARTS))
-        facts.last_event_id = _text(headers, LAST_EVENT_ID)
+            facts.prompt_tokens = _parse_token_count(prompt)
+            facts.output_tokens = _parse_token_count(output)
+        facts.parts = _parse_prefix_segments(
+            _header_text(headers, PROMPT_PREFIX)
+        )
+        facts.last_event_id = _header_text(headers, LAST_EVENT_ID)
         return facts
 
     def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
         """Return what an answer's headers say."""
         facts = AnswerFacts()
-        facts.request_id = _text(headers, REQUEST_ID)
-        facts.is_not_run = bool(first_header(headers, NOT_RUN.lower()))
-        facts.is_sealed = bool(first_header(headers, SEAL.lower()))
+        facts.request_id = _header_text(headers, REQUEST_ID)
+        facts.is_not_run = bool(first_header(headers, NOT_EXECUTED.lower()))
+        facts.is_sealed = bool(first_header(headers, RESPONSE_SEAL.lower()))
         facts.idle_seconds = _idle_seconds(headers)
-        cold_ms = _text(headers, COLD)
+        cold_ms = _header_text(headers, WARMUP_REMAINING)
         facts.cold_seconds = float(cold_ms) / _MS if cold_ms else None
         facts.is_leaving = _is_leaving(headers, facts)
         if status == HTTPStatus.SERVICE_UNAVAILABLE:
-            facts.rest_seconds = _rest_seconds(headers, facts)
+            facts.rest_seconds = _backoff_seconds(headers, facts)
         facts.limit_per_second = _limit_per_second(headers, facts)
         return facts
 
@@ -116,16 +121,16 @@
             if name.lower() not in REPLACED_HEADERS
         ]
         left_ms = max(1, int(left_seconds * _MS))
-        headers.append((DEADLINE, str(left_ms).encode()))
+        headers.append((REQUEST_DEADLINE, str(left_ms).encode()))
         if last_event_id:
             headers.append((LAST_EVENT_ID, last_event_id.encode()))
         if instance:
-            headers.append((INSTANCE, instance.encode()))
+            headers.append((TARGET_INSTANCE, instance.encode()))
         if request.organisation is not None:
-            headers.append((ORGANISATION, request.organisation.name.encode()))
+            headers.append((TENANT, request.organisation.name.encode()))
         if request.route.is_stream:
             rank = min(request.priority, PRIORITY_LIMIT)
-            headers.append((PRIORITY, str(rank).encode()))
+            headers.append((REQUEST_PRIORITY, str(rank).encode()))
         return headers
 
     def without_credentials(self, headers: Headers) -> Headers:
@@ -139,7 +144,7 @@
     def copy_headers(self, address: tuple[str, int]) -> Headers:
         """Return headers that have a target copy what another has read."""
         host, port = address
-        return [(COPY_FROM, f'{host}:{port}'.encode())]
+        return [(KV_FETCH, f'{host}:{port}'.encode())]
 
     def own_headers(self, request_id: str) -> Headers:
         """Return headers that every answer of our own carries."""
@@ -152,69 +157,69 @@
         return [(RETRY_AFTER, f'{after_seconds:.3f}'.encode())]
 
 
-def _text(headers: Headers, name: bytes) -> str:
+def _header_text(headers: Headers, name: bytes) -> str:
     return first_header(headers, name.lower()).decode('latin-1').strip()
 
 
-def _all(headers: Headers, name: bytes) -> list[bytes]:
+def _header_values(headers: Headers, name: bytes) -> list[bytes]:
     lowered = name.lower()
     return [content for found, content in headers if found.lower() == lowered]
 
 
-def _parts(content: str) -> tuple[PromptPart, ...]:
-    parts = []
+def _parse_prefix_segments(content: str) -> tuple[PromptPart, ...]:
+    segments = []
     for entry in content.split(','):
         name, _, tokens = entry.strip().partition(':')
         if name:
-            parts.append(PromptPart(name, _tokens(tokens)))
-    return tuple(parts)
+            segments.append(PromptPart(name, _parse_token_count(tokens)))
+    return tuple(segments)
 
 
 def _is_leaving(headers: Headers, facts: AnswerFacts) -> bool:
-    told = False
-    for content in _all(headers, LEAVING):
+    is_leaving = False
+    for content in _header_values(headers, SERVER_LEAVING):
         if content.strip() == b'1':
-            told = True
+            is_leaving = True
         else:
-            _note_unreadable(facts, LEAVING, content)
-    return told
+            _record_unreadable(facts, SERVER_LEAVING, content)
+    return is_leaving
 
 
-def _rest_seconds(headers: Headers, facts: AnswerFacts) -> float | None:
-    named = []
-    for content in _all(headers, RETRY_AFTER):
-        seconds = _number(content)
+def _backoff_seconds(headers: Headers, facts: AnswerFacts) -> float | None:
+    values_seconds = []
+    for content in _header_values(headers, RETRY_AFTER):
+        seconds = _parse_decimal(content)
         if seconds is None:
-            _note_unreadable(facts, RETRY_AFTER, content)
+            _record_unreadable(facts, RETRY_AFTER, content)
         else:
-            named.append(min(seconds, MOST_REST_SECONDS))
-    return max(named, default=0.0) or None
+            values_seconds.append(min(seconds, MAX_BACKOFF_SECONDS))
+    return max(values_seconds, default=0.0) or None
 
 
 def _limit_per_second(headers: Headers, facts: AnswerFacts) -> float | None:
-    named = []
-    for content in _all(headers, LIMIT):
-        per_second = _number(content)
-        if per_second is None or not 0 < per_second <= MOST_PER_SECOND:
-            _note_unreadable(facts, LIMIT, content)
+    limits = []
+    for content in _header_values(headers, SERVER_LIMIT):
+        per_second = _parse_decimal(content)
+        if per_second is None or not 0 < per_second <= MAX_LIMIT_PER_SECOND:
+            _record_unreadable(facts, SERVER_LIMIT, content)
         else:
-            named.append(per_second)
-    return min(named, default=None)
+            limits.append(per_second)
+    return min(limits, default=None)
 
 
-def _number(content: bytes) -> float | None:
+def _parse_decimal(content: bytes) -> float | None:
     text = content.decode('latin-1').strip()
     if not _DECIMAL.fullmatch(text):
         return None
     return float(text)
 
 
-def _note_unreadable(facts: AnswerFacts, name: bytes, content: bytes) -> None:
-    shown = content[:SHOWN_CHARACTERS].decode('latin-1')
-    facts.unreadable[name.decode()] = shown
+def _record_unreadable(facts: AnswerFacts, name: bytes, content: bytes) -> None:
+    excerpt = content[:LOGGED_CHARACTERS].decode('latin-1')
+    facts.unreadable[name.decode()] = excerpt
 
 
-def _tokens(content: str) -> int:
+def _parse_token_count(content: str) -> int:
     # Hosts add these up and tell each other the sums: a figure beyond 64 bits
     # failed every collector that heard of it, a negative one drew all requests.
     tokens = int(content or 0)
@@ -226,11 +231,11 @@
 def _idle_seconds(headers: Headers) -> float | None:
     tokens = [
         token.strip().lower()
-        for token in _text(headers, b'Connection').split(',')
+        for token in _header_text(headers, b'Connection').split(',')
     ]
     if 'close' in tokens:
         return 0.0
-    for entry in _text(headers, b'Keep-Alive').split(','):
+    for entry in _header_text(headers, b'Keep-Alive').split(','):
         name, _, seconds = entry.strip().partition('=')
         if name.lower() == 'timeout' and seconds.isdigit():
             return float(seconds)
--- a/jacinthfold/platform/documents.py
+++ b/jacinthfold/platform/documents.py
@@ -12,7 +12,7 @@
     TargetRecord,
 )
 from jacinthfold.catalogue.records import Kind, UnreadableRecordError
-from jacinthfold.platform import entries
+from jacinthfold.platform import target_records
 from jacinthfold.platform.organisations import read_organisations
 
 ROUTES_KEY = 'op/config'
@@ -62,7 +62,7 @@
 
     def read_target(self, name: str, content: bytes) -> TargetRecord:
         """Return what a target tells of itself; raise UnreadableRecordError."""
-        return entries.read_target(name, content)
+        return target_records.read_target(name, content)
 
 
 def _read_table(document: dict[str, Any]) -> RouteTable:
@@ -78,8 +78,10 @@
 
 
 def _read_route(entry: dict[str, Any]) -> Route:
-    split = entry.get('weighted-backends') or []
-    services = tuple((one['backend'], float(one['weight'])) for one in split)
+    weighted_backends = entry.get('weighted-backends') or []
+    services = tuple(
+        (one['backend'], float(one['weight'])) for one in weighted_backends
+    )
     if not services:
         services = ((entry['backend'], 1.0),)
     route = Route(
@@ -88,7 +90,7 @@
     kind = entry['route-type']
     route.is_public = bool(entry.get('public'))
     route.is_stream = kind == 'stream'
-    route.repetition = _repetition(kind, entry)
+    route.repetition = _retry_policy(kind, entry)
     route.timeout_seconds = entry['timeout-ms'] / _MS
     route.aim_seconds = (
         entry.get('target-latency-ms') or entry['timeout-ms']
@@ -100,7 +102,7 @@
     return route
 
 
-def _repetition(kind: str, entry: dict[str, Any]) -> Repetition:
+def _retry_policy(kind: str, entry: dict[str, Any]) -> Repetition:
     if kind == 'idempotent':
         return Repetition.WHOLE
     if kind == 'stream' and entry.get('resumable'):
--- a/jacinthfold/platform/organisations.py
+++ b/jacinthfold/platform/organisations.py
@@ -16,7 +16,7 @@
 _TOKENS = 'tokens'
 
 
-class _Entry(msgspec.Struct, rename='kebab'):
+class _OrganisationEntry(msgspec.Struct, rename='kebab'):
     name: str
     api_keys: list[str] = []
     priority: int | None = None
@@ -30,29 +30,31 @@
 
 def read_organisations(document: object) -> OrganisationTable:
     """Return the organisations of a configuration; raise ValueError."""
-    entries = msgspec.convert(document or [], list[_Entry])
+    entries = msgspec.convert(document or [], list[_OrganisationEntry])
     return OrganisationTable(_organisation(entry) for entry in entries)
 
 
-def _organisation(entry: _Entry) -> Organisation:
+def _organisation(entry: _OrganisationEntry) -> Organisation:
     if not 0 < len(entry.name) <= NAME_LIMIT or not entry.name.isprintable():
         raise ValueError(f'no name for an organisation: {entry.name[:20]!r}')
     keys = [key.encode() for key in entry.api_keys]
     if any(not 0 < len(key) <= KEY_LIMIT_BYTES for key in keys):
         raise ValueError(f'{entry.name}: a key without content, or too long')
-    found = Organisation(entry.name, map(digest_of, keys))
+    organisation = Organisation(entry.name, map(digest_of, keys))
     if entry.priority is not None:
-        _check(entry.name, 'priority', entry.priority, PRIORITY_LIMIT)
-    found.priority = entry.priority
-    found.home_regions = frozenset(entry.allowed_regions)
-    found.cap = _cap(entry)
-    return found
+        _check_range(entry.name, 'priority', entry.priority, PRIORITY_LIMIT)
+    organisation.priority = entry.priority
+    organisation.home_regions = frozenset(entry.allowed_regions)
+    organisation.cap = _cap(entry)
+    return organisation
 
 
-def _cap(entry: _Entry) -> Cap | None:
-    _check(entry.name, 'rate-per-s', entry.rate_per_s, RATE_LIMIT)
-    _check(entry.name, 'burst', entry.burst, RATE_LIMIT)
-    _check(entry.name, 'uncached-tokens', entry.uncached_tokens, RATE_LIMIT)
+def _cap(entry: _OrganisationEntry) -> Cap | None:
+    _check_range(entry.name, 'rate-per-s', entry.rate_per_s, RATE_LIMIT)
+    _check_range(entry.name, 'burst', entry.burst, RATE_LIMIT)
+    _check_range(
+        entry.name, 'uncached-tokens', entry.uncached_tokens, RATE_LIMIT
+    )
     if not entry.rate_per_s:
         return None
     return Cap(
@@ -63,6 +65,6 @@
     )
 
 
-def _check(name: str, field: str, found: float, most: float) -> None:
-    if not 0 <= found <= most:
+def _check_range(name: str, field: str, value: float, maximum: float) -> None:
+    if not 0 <= value <= maximum:
         raise ValueError(f'{name}: {field} out of range')
--- a/jacinthfold/platform/program.py
+++ b/jacinthfold/platform/program.py
@@ -8,24 +8,24 @@
 from jacinthfold.gateway import settings as gateway_settings
 from jacinthfold.gateway.adapter import Adapter
 from jacinthfold.gateway.node import GatewayNode
-from jacinthfold.platform.calls import PlatformCalls
+from jacinthfold.platform.api import PlatformApi
 from jacinthfold.platform.dialect import PlatformDialect
 from jacinthfold.platform.documents import PlatformReader
 from jacinthfold.platform.store import PlatformStore
 from jacinthfold.transport.http_call import HttpCaller
 
 # A reader that stands still must not hold up the end of the process.
-FLUSH_SECONDS = 0.2
+LOG_FLUSH_TIMEOUT_SECONDS = 0.2
 
 
 def run(path: Path) -> None:
     """Serve until asked to stop; raise SettingsError."""
     settings = gateway_settings.load(path)
-    logs.set_up_bounded(settings.host.log_level, settings.host.name)
+    logs.set_up_non_blocking(settings.host.log_level, settings.host.name)
     try:
         asyncio.run(_serve(settings, path))
     finally:
-        logs.flush(FLUSH_SECONDS)
+        logs.flush(LOG_FLUSH_TIMEOUT_SECONDS)
 
 
 async def _serve(
@@ -37,6 +37,6 @@
         PlatformStore(settings.store.address, caller),
         PlatformReader(),
         PlatformDialect(),
-        PlatformCalls(),
+        PlatformApi(),
     )
     await GatewayNode(settings, path, adapter, caller, clock).run()
--- a/jacinthfold/platform/store.py
+++ b/jacinthfold/platform/store.py
@@ -25,7 +25,7 @@
 from jacinthfold.transport.http_call import CallAnswer, HttpCaller
 
 # The store answers in 4 ms; a slow one takes some hundred.
-CALL_SECONDS = 1.5
+CALL_TIMEOUT_SECONDS = 1.5
 # A watch that hears nothing after its own wait and this is on a dead
 # connection.
 WATCH_MARGIN_SECONDS = 1.0
@@ -66,7 +66,7 @@
         """Return the store's revision, read and not from memory."""
         # Nothing lies behind this key: the answer is small.
         query = {'prefix': ROUTES_KEY, 'after': ROUTES_KEY}
-        document = await self._get('/api/kv-range', query, CALL_SECONDS)
+        document = await self._get('/api/kv-range', query, CALL_TIMEOUT_SECONDS)
         return int(document['store-revision'])
 
     async def grant_lease(self, seconds: float) -> int:
@@ -124,7 +124,9 @@
         query: dict[str, Any] = {'prefix': prefix}
         first_revision = None
         while True:
-            document = await self._get('/api/kv-range', query, CALL_SECONDS)
+            document = await self._get(
+                '/api/kv-range', query, CALL_TIMEOUT_SECONDS
+            )
             # Pages are no snapshot: what changes between them is seen by a
             # watch that begins at the first page's revision.
             if first_revision is None:
@@ -139,13 +141,13 @@
         self, path: str, query: dict[str, Any], timeout_seconds: float
     ) -> Any:
         target = f'{path}?{urlencode(query)}'
-        return await self._answer('GET', target, b'', timeout_seconds)
+        return await self._send('GET', target, b'', timeout_seconds)
 
     async def _call(self, method: str, path: str, body: dict[str, Any]) -> Any:
         content = json.dumps(body).encode() if body else b''
-        return await self._answer(method, path, content, CALL_SECONDS)
+        return await self._send(method, path, content, CALL_TIMEOUT_SECONDS)
 
-    async def _answer(
+    async def _send(
         self, method: str, target: str, body: bytes, timeout_seconds: float
     ) -> Any:
         try:
@@ -154,7 +156,7 @@
             )
         except ProxyError as error:
             raise MetadataError(f'{type(error).__name__}: {error}') from error
-        return _document(answer, target)
+        return _decode_response(answer, target)
 
 
 def _put(key: str, content: bytes, lease: int) -> dict[str, Any]:
@@ -162,7 +164,7 @@
     return {'key': key, 'value': encoded, 'lease': lease}
 
 
-def _document(answer: CallAnswer, target: str) -> Any:
+def _decode_response(answer: CallAnswer, target: str) -> Any:
     call = target.partition('?')[0]
     if answer.status == HTTPStatus.GONE:
         raise MetadataHistoryLostError(call)
--- a/jacinthfold/platform/entries.py
+++ b/jacinthfold/platform/target_records.py
@@ -10,7 +10,7 @@
 
 # Far above any real target; figures beyond them are another writer's.
 SLOTS_LIMIT = 1_000_000
-COLD_LIMIT_MS = 3_600_000
+WARMUP_LIMIT_MS = 3_600_000
 PORT_LIMIT = 65535
 # Unix milliseconds of the year 2286: one digit more than any clock shows.
 BORN_LIMIT_MS = 10**13
@@ -22,7 +22,7 @@
     DRAINING = 'draining'
 
 
-class _Entry(msgspec.Struct, rename='kebab'):
+class _TargetEntry(msgspec.Struct, rename='kebab'):
     # The service, for which the wire has the name of another thing.
     backend: str
     address: str
@@ -40,7 +40,7 @@
     born: int | msgspec.UnsetType = msgspec.UNSET
 
 
-_decoder = msgspec.json.Decoder(_Entry)
+_decoder = msgspec.json.Decoder(_TargetEntry)
 
 
 def read_target(instance: str, content: bytes) -> TargetRecord:
@@ -51,15 +51,15 @@
         raise UnreadableRecordError(str(error)) from error
     _check_range('slots', entry.slots, 1, SLOTS_LIMIT)
     _check_range('seq', entry.seq, 0, float('inf'))
-    _check_range('warmup-left-ms', entry.warmup_left_ms, 0, COLD_LIMIT_MS)
+    _check_range('warmup-left-ms', entry.warmup_left_ms, 0, WARMUP_LIMIT_MS)
     record = TargetRecord(
-        instance, entry.backend, _place(entry.address), entry.zone
+        instance, entry.backend, _parse_endpoint(entry.address), entry.zone
     )
     record.slots = entry.slots
     record.is_draining = entry.state is _State.DRAINING
     record.cold_seconds = entry.warmup_left_ms / _MS
     if entry.remaining_ms is not None:
-        _check_range('remaining-ms', entry.remaining_ms, 0, COLD_LIMIT_MS)
+        _check_range('remaining-ms', entry.remaining_ms, 0, WARMUP_LIMIT_MS)
         record.remaining_seconds = entry.remaining_ms / _MS
     if entry.born is not msgspec.UNSET:
         _check_range('born', entry.born, 0, BORN_LIMIT_MS)
@@ -67,7 +67,7 @@
     return record
 
 
-def _place(address: str) -> tuple[str, int]:
+def _parse_endpoint(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(':')
     if not (port.isascii() and port.isdigit() and len(port) <= 5):
         raise UnreadableRecordError(f'no port in {address[:40]!r}')
@@ -79,6 +79,8 @@
     return host, int(port)
 
 
-def _check_range(name: str, found: float, least: float, most: float) -> None:
-    if not least <= found <= most:
+def _check_range(
+    name: str, value: float, minimum: float, maximum: float
+) -> None:
+    if not minimum <= value <= maximum:
         raise UnreadableRecordError(f'{name} out of range')
--- a/tests/gateway/test_explain.py
+++ b/tests/gateway/test_explain.py
@@ -2,7 +2,7 @@
 
 import io
 
-from jacinthfold.explain import story
+from jacinthfold.explain import request_timeline
 from jacinthfold.serve.context import Environment
 from jacinthfold.serve.core import main
 from jacinthfold.serve.status import ExitStatus
@@ -30,14 +30,14 @@
 ]
 
 
-def test_story_has_the_request_and_what_its_host_believed():
-    told = story(LINES, 'r1')
-    assert [one.split()[2] for one in told] == [
+def test_timeline_has_the_request_and_its_hosts_events():
+    selected = request_timeline(LINES, 'r1')
+    assert [one.split()[2] for one in selected] == [
         'event=target_set_aside',
         'event=request_placed',
         'event=attempt_failed',
     ]
-    assert all('host=a' in one and 'i-2' not in one for one in told)
+    assert all('host=a' in one and 'i-2' not in one for one in selected)
 
 
 def test_command_reads_standard_input_and_files(tmp_path):
--- a/tests/gateway/test_knowledge.py
+++ b/tests/gateway/test_knowledge.py
@@ -112,7 +112,7 @@
     assert bodies(desk) == {b'from i-2'}
 
 
-def test_last_targets_are_used_for_a_moment_and_then_given_up(desk):
+def test_last_targets_are_used_briefly_and_then_dropped(desk):
     """All records lapse at once, as after an outage of the store.
 
     Living targets write theirs again within two seconds, so a host goes on
--- a/tests/gateway/test_logs.py
+++ b/tests/gateway/test_logs.py
@@ -2,7 +2,7 @@
 
 import os
 
-from jacinthfold.log_writer import LINE_LIMIT, BoundedWriter
+from jacinthfold.log_writer import QUEUE_CAPACITY_LINES, BoundedWriter
 from tools.fleet import wait_until
 
 
@@ -24,7 +24,7 @@
     reader, descriptor = os.pipe()
     writer = BoundedWriter(descriptor)
     for number in range(500):
-        writer.take(message(f'line {number}'))
+        writer.queue_line(message(f'line {number}'))
     writer.flush(10)
     assert os.read(reader, 65536).endswith(b'line 499\n')
 
@@ -38,20 +38,20 @@
     reader, descriptor = os.pipe()
     os.set_blocking(descriptor, False)
     writer = BoundedWriter(descriptor)
-    for number in range(LINE_LIMIT * 2):
-        writer.take(message('x' * 200, severity=30))
-    writer.take(message('ordinary'))
-    assert writer.left_out > 0
+    for number in range(QUEUE_CAPACITY_LINES * 2):
+        writer.queue_line(message('x' * 200, severity=30))
+    writer.queue_line(message('ordinary'))
+    assert writer.dropped_count > 0
     writer.flush(0.01)
     os.set_blocking(reader, False)
     seen = bytearray()
 
-    def has_told():
+    def has_reported():
         try:
             seen.extend(os.read(reader, 1 << 20))
         except BlockingIOError:
             return False
-        writer.take(message('more'))
+        writer.queue_line(message('more'))
         return b'event=lines_left_out' in seen
 
-    wait_until(has_told, 'the lines that were left out are told')
+    wait_until(has_reported, 'the lines that were left out are told')
--- a/tests/gateway/test_other_writers.py
+++ b/tests/gateway/test_other_writers.py
@@ -64,18 +64,18 @@
     an error nobody expects it would end the task that follows the store, and
     every later change would be missed.
     """
-    made, heard = catalogue()
+    made, notifications = catalogue()
     made.apply([Record('servers/x', 1, content), target('i', 2)], 2)
-    assert heard == [('target', 'i')]
+    assert notifications == [('target', 'i')]
 
 
 @pytest.mark.parametrize('name', sorted(entry()))
 def test_entry_with_a_missing_field_names_no_target(name):
     document = entry()
     document.pop(name)
-    made, heard = catalogue()
+    made, notifications = catalogue()
     made.apply([Record('servers/x', 1, json.dumps(document).encode())], 1)
-    assert not heard
+    assert not notifications
 
 
 def test_target_whose_entry_is_spoiled_is_used_no_more():
@@ -100,7 +100,7 @@
 
 
 def test_unreadable_configuration_leaves_the_one_in_force():
-    made, heard = catalogue()
+    made, notifications = catalogue()
     made.apply([configuration(7, 1)], 1)
     spoiled = [
         b'{"version":8,"routes":7,"backends":[]}',
@@ -111,12 +111,12 @@
     ]
     for number, content in enumerate(spoiled):
         made.apply([Record('op/config', 2 + number, content)], 2 + number)
-    assert heard == [('routes', 7)]
+    assert notifications == [('routes', 7)]
     assert made.routes.version == 7
 
 
 def test_unreadable_host_record_names_no_host():
-    made, heard = catalogue()
+    made, notifications = catalogue()
     spoiled = [
         b'{"name":1}',
         b'{"name":"h","incarnation":"1","region":"n","data_centre":"n-1",'
@@ -125,7 +125,7 @@
     ]
     for number, content in enumerate(spoiled):
         made.apply([Record('hosts/h', 1 + number, content)], 1 + number)
-    assert ('host', 'h', True) not in heard
+    assert ('host', 'h', True) not in notifications
 
 
 keys = st.sampled_from(
@@ -148,11 +148,11 @@
 
 @given(st.lists(st.tuples(keys, st.integers(1, 40), values), max_size=12))
 def test_any_bytes_at_any_key_are_survived(items):
-    made, heard = catalogue()
+    made, notifications = catalogue()
     for key, revision, content in items:
         made.apply([Record(key, revision, content)], revision)
     made.apply([target('sound', 50)], 50)
-    assert heard[-1] == ('target', 'sound')
+    assert notifications[-1] == ('target', 'sound')
     assert made.revision == 50
 
 
@@ -177,13 +177,13 @@
             await asyncio.Event().wait()
 
     async def follow():
-        made, heard = catalogue()
+        made, notifications = catalogue()
         follower = Follower(FailingStore(), made, FakeClock())
         task = asyncio.get_running_loop().create_task(supervised(follower.run))
-        while not heard:
+        while not notifications:
             await asyncio.sleep(0.01)
         task.cancel()
-        return heard
+        return notifications
 
-    heard = asyncio.run(asyncio.wait_for(follow(), 30))
-    assert heard == [('target', 'i')]
+    notifications = asyncio.run(asyncio.wait_for(follow(), 30))
+    assert notifications == [('target', 'i')]
--- a/tests/gateway/test_rebirth.py
+++ b/tests/gateway/test_rebirth.py
@@ -10,7 +10,7 @@
 from jacinthfold.fleet.table import HostTable
 from jacinthfold.placement.regions import RegionView
 from jacinthfold.placement.target import Load
-from jacinthfold.platform.entries import read_target
+from jacinthfold.platform.target_records import read_target
 from jacinthfold.request.messages import RequestFacts
 from tests.gateway.test_placement import Scene
 from tests.gateway.test_translation import catalogue, entry
--- a/tests/gateway/test_translation.py
+++ b/tests/gateway/test_translation.py
@@ -16,7 +16,7 @@
 from jacinthfold.gateway import settings
 from jacinthfold.placement.regions import RegionView
 from jacinthfold.placement.targets import TargetTable
-from jacinthfold.platform.dialect import MOST_REST_SECONDS, PlatformDialect
+from jacinthfold.platform.dialect import MAX_BACKOFF_SECONDS, PlatformDialect
 from jacinthfold.platform.documents import PlatformReader
 from jacinthfold.proxy.events import EventSplitter
 from jacinthfold.request.messages import Request, without_framing
@@ -30,35 +30,35 @@
     """Keep what a catalogue tells."""
 
     def __init__(self):
-        self.heard = []
+        self.notifications = []
 
     def on_routes(self, table):
-        self.heard.append(('routes', table.version))
+        self.notifications.append(('routes', table.version))
 
     def on_target(self, record):
-        self.heard.append(('target', record.instance))
+        self.notifications.append(('target', record.instance))
 
     def on_target_removed(self, instance):
-        self.heard.append(('removed', instance))
+        self.notifications.append(('removed', instance))
 
     def on_evacuation(self, data_centre, is_evacuated):
-        self.heard.append(('evacuation', data_centre, is_evacuated))
+        self.notifications.append(('evacuation', data_centre, is_evacuated))
 
     def on_host(self, record, name):
-        self.heard.append(('host', name, record is not None))
+        self.notifications.append(('host', name, record is not None))
 
     def on_quarantine(self, name, content):
-        self.heard.append(('quarantine', name, content))
+        self.notifications.append(('quarantine', name, content))
 
     def on_issuer(self, name, record):
-        self.heard.append(('issuer', name, record.content))
+        self.notifications.append(('issuer', name, record.content))
 
 
 def catalogue(clock=None):
     made = Catalogue(PlatformReader(), decode_host, clock or FakeClock())
     listener = Listener()
     made.subscribe(listener)
-    return made, listener.heard
+    return made, listener.notifications
 
 
 def target(instance, revision, **fields):
@@ -130,41 +130,41 @@
 
 
 def test_late_change_does_not_undo_a_newer_one():
-    made, heard = catalogue()
+    made, notifications = catalogue()
     made.apply([target('i', 5)], 5)
     made.apply([target('i', 3, state='draining')], 3)
-    assert heard == [('target', 'i')]
+    assert notifications == [('target', 'i')]
     assert made.revision == 5
 
 
-def test_list_shows_what_is_missing():
-    made, heard = catalogue()
+def test_list_removes_missing_targets():
+    made, notifications = catalogue()
     made.apply([target('i', 2), target('k', 3)], 3)
     made.replace([target('k', 3)], 9)
-    assert heard[-1] == ('removed', 'i')
+    assert notifications[-1] == ('removed', 'i')
 
 
 def test_list_that_is_older_than_what_is_known_is_ignored():
-    made, heard = catalogue()
+    made, notifications = catalogue()
     made.apply([target('i', 8)], 8)
     made.replace([], 5)
-    assert heard == [('target', 'i')]
+    assert notifications == [('target', 'i')]
 
 
 def test_older_version_at_a_later_revision_is_ignored():
-    made, heard = catalogue()
+    made, notifications = catalogue()
     made.apply([configuration(7, 1)], 1)
     made.apply([configuration(4, 2)], 2)
-    assert heard == [('routes', 7)]
+    assert notifications == [('routes', 7)]
 
 
 def test_unreadable_record_does_not_stop_the_others():
-    made, heard = catalogue()
+    made, notifications = catalogue()
     made.apply([Record('servers/x', 1, b'{not json'), target('i', 2)], 2)
-    assert heard == [('target', 'i')]
+    assert notifications == [('target', 'i')]
 
 
-def test_keys_tell_what_records_are():
+def test_keys_determine_record_kinds():
     reader = PlatformReader()
     assert reader.kind_of('servers/i')[0] is Kind.TARGET
     assert reader.kind_of('op/evacuate/z') == (Kind.EVACUATION, 'z')
@@ -352,7 +352,7 @@
         ([], False, False),
     ],
 )
-def test_leaving_is_said_by_one_word(contents, is_leaving, is_unreadable):
+def test_only_1_means_leaving(contents, is_leaving, is_unreadable):
     headers = [(b'Server-Leaving', content) for content in contents]
     facts = PlatformDialect().read_answer(200, headers)
     assert facts.is_leaving is is_leaving
@@ -366,7 +366,7 @@
         ([b'0.25'], 0.25, False),
         ([b'2.5374448024158793'], 2.5374448024158793, False),
         ([b'1', b'2'], 2.0, False),
-        ([b'31536000'], MOST_REST_SECONDS, False),
+        ([b'31536000'], MAX_BACKOFF_SECONDS, False),
         ([b'0'], None, False),
         ([b'-1'], None, True),
         ([b'nan'], None, True),
@@ -377,7 +377,7 @@
         ([], None, False),
     ],
 )
-def test_rest_is_a_bounded_number(contents, rest_seconds, is_unreadable):
+def test_backoff_is_a_bounded_number(contents, rest_seconds, is_unreadable):
     headers = [(b'Retry-After', content) for content in contents]
     facts = PlatformDialect().read_answer(503, headers)
     assert facts.rest_seconds == rest_seconds
--- a/tools/ablations/gateway.py
+++ b/tools/ablations/gateway.py
@@ -68,8 +68,8 @@
         'gateway: a leaving host refuses what it could not end',
         [
             (
-                'gateway/leaving.py',
-                '        return now + longest < self.ends_at',
+                'gateway/drain.py',
+                '        return now + longest_seconds < self.ends_at',
                 '        return True',
             ),
         ],
@@ -116,7 +116,7 @@
         [
             (
                 '__main__.py',
-                '        _hold_signals()',
+                '        _install_startup_handlers()',
                 '        pass',
             ),
         ],
@@ -182,8 +182,8 @@
         'gateway: entries are checked whole',
         [
             (
-                'platform/entries.py',
-                'if not least <= found <= most:',
+                'platform/target_records.py',
+                'if not minimum <= value <= maximum:',
                 'if False:',
             ),
         ],
@@ -194,7 +194,7 @@
         [
             (
                 'gateway/node.py',
-                '            await asyncio.sleep(DUTY_PAUSE_SECONDS)\n',
+                '            await asyncio.sleep(TASK_RESTART_SECONDS)\n',
                 '            return\n',
             ),
         ],
--- a/tools/ablations/organisations.py
+++ b/tools/ablations/organisations.py
@@ -14,7 +14,7 @@
         [
             (
                 'gateway/request_handlers.py',
-                'work.headers = self._dialect.without_credentials(work.headers)',
+                'parsed.headers = self._dialect.without_credentials(parsed.headers)',
                 'pass',
             )
         ],
