--- a/jacinthfold/gateway/__init__.py
+++ b/jacinthfold/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Run an entry host that serves the routes of a metadata store."""
+"""Entry host that takes its routes from a metadata store."""
--- a/jacinthfold/gateway/adapter.py
+++ b/jacinthfold/gateway/adapter.py
@@ -1,4 +1,4 @@
-"""Say what an entry host needs translated by its surroundings."""
+"""Interfaces between an entry host and the platform that it runs on."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -10,24 +10,27 @@
 
 
 class HostApi(Protocol):
-    """Read and write the calls that callers make beside requests."""
+    """Parse and encode calls to the readiness and directory endpoints."""
 
     def is_readiness_request(self, target: str) -> bool:
-        """Tell whether a call asks if this host is ready."""
+        """Return whether a request target is the readiness endpoint."""
 
     def parse_directory_request(
         self, target: str
     ) -> tuple[str, str, str] | None:
-        """Return host name, region and data centre asked for, or None."""
+        """Return the host name, region and data centre of a directory query.
+
+        Return None if the target is not the directory endpoint.
+        """
 
     def encode_directory_response(
         self, hosts: Iterable[HostRecord], seconds: int
     ) -> bytes:
-        """Return the body that names entry hosts to a caller."""
+        """Return the response body with the entry hosts to connect to."""
 
 
 class Adapter:
-    """Hold what translates between this product and its surroundings."""
+    """Group the platform-specific implementations of an entry host."""
 
     __slots__ = ('api', 'dialect', 'reader', 'store')
 
@@ -38,7 +41,7 @@
         dialect: Dialect,
         api: HostApi,
     ) -> None:
-        """Take the translators."""
+        """Set the store, record reader, header dialect and endpoint API."""
         self.store = store
         self.reader = reader
         self.dialect = dialect
--- a/jacinthfold/gateway/cluster_view.py
+++ b/jacinthfold/gateway/cluster_view.py
@@ -1,4 +1,4 @@
-"""Hold what an entry host believes, and keep it up to date."""
+"""Keep an entry host's view of the cluster up to date."""
 
 import asyncio
 import random
@@ -32,15 +32,16 @@
 from jacinthfold.transport.pool import Pool
 
 HOUSEKEEPING_SECONDS = 0.1
-# Who paces cold targets and shares budgets is followed this often: walking
-# through 195 hosts at each tick took 31 of the 650 ms that a calm one was busy.
+# Interval for updating the hosts that share warm-up pacing and retry budgets.
+# Iterating over 195 hosts in every housekeeping run took 31 of the 650 ms of
+# CPU time of an idle host.
 HOSTS_REFRESH_SECONDS = 0.4
-# What engines were learned to do is logged this often.
+# Interval for logging the latency models learned from engines.
 LATENCY_MODELS_LOG_SECONDS = 10.0
 
 
 class ClusterView:
-    """Hold catalogue, targets, entry hosts and what is decided by them."""
+    """Hold the catalogue, targets and hosts, and what depends on them."""
 
     def __init__(
         self,
@@ -50,7 +51,7 @@
         caller: HttpCaller,
         clock: Clock,
     ) -> None:
-        """Put the parts together; nothing is known yet."""
+        """Create and connect the components; the view is empty."""
         self.own = own
         self._clock = clock
         self._idle_timeouts_seconds = [CallerLimits().idle_timeout_seconds]
@@ -100,23 +101,23 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Take settings that may change while running."""
+        """Apply the settings that may change while running."""
         self.heartbeats.seeds = settings.peers.seeds
         self.snapshots.seeds = settings.peers.seeds
 
     def is_ready(self) -> bool:
-        """Tell whether callers may be served."""
+        """Return whether this host can serve callers."""
         is_active = self.hosts.own_state is HostState.ACTIVE
         return is_active and self.catalogue.routes is not None
 
     def limits(self) -> CallerLimits:
-        """Return the limits that callers' connections are held to."""
+        """Return the limits for callers' connections."""
         table = self.catalogue.routes
         if table is None:
             return CallerLimits()
         limits = table.limits
-        # A caller whose connection was idle under the limit before goes by
-        # that one still.
+        # Connections opened under the previous configuration may still rely
+        # on its idle timeout, so the longer of the two applies.
         return CallerLimits(
             limits.head_bytes,
             limits.body_bytes,
@@ -125,7 +126,7 @@
         )
 
     def on_routes(self, table: RouteTable) -> None:
-        """Take a newer configuration."""
+        """Apply a newer configuration."""
         self.targets.follow_services(table.services)
         self.organisations.apply_routes(table)
         latest = table.limits.idle_timeout_seconds
@@ -133,31 +134,31 @@
         self._activate_when_ready()
 
     def on_target(self, record: TargetRecord) -> None:
-        """Take a target that came or changed."""
+        """Add or update a target."""
         self.targets.put(record)
 
     def on_target_removed(self, instance: str) -> None:
-        """Take that a target's record is gone."""
+        """Remove a target whose record was deleted."""
         self.targets.remove(instance)
 
     def on_evacuation(self, data_centre: str, is_evacuated: bool) -> None:
-        """Take that a data centre is evacuated or taken back."""
+        """Start or end the evacuation of a data centre."""
         self.targets.evacuate(data_centre, is_evacuated=is_evacuated)
 
     def on_host(self, record: HostRecord | None, name: str) -> None:
-        """Take an entry host's record, or that it is gone."""
+        """Register an entry host, or remove it if its record was deleted."""
         self.hosts.register(record, name)
 
     def on_quarantine(self, name: str, content: bytes | None) -> None:
-        """Take a record on requests under which targets ended."""
+        """Apply a quarantine record of requests that crashed targets."""
         self.quarantine.take_record(name, content)
 
     def on_issuer(self, name: str, record: Record) -> None:
-        """Take which host issues shares of caps, or that none does."""
+        """Apply the record of the host that issues cap shares, if any."""
         self.organisations.quota.issuers.take_record(name, record)
 
     async def run_housekeeping(self) -> None:
-        """Become ready, and drop what is gone, until cancelled."""
+        """Activate the host and drop expired state until cancelled."""
         while True:
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
             self._activate_when_ready()
@@ -170,7 +171,7 @@
             self.quarantine.suspects.forget_at_times()
 
     def dump_state(self) -> dict[str, Any]:
-        """Return what this host believes."""
+        """Return the state of this host for operators."""
         now = self._clock.monotonic()
         table = self.catalogue.routes
         return {
@@ -210,8 +211,9 @@
         }
 
     def reaches_store(self) -> bool:
-        """Tell whether this host has a way to the store."""
-        # A host that leaves watching to others learns from its lease alone.
+        """Return whether this host has contact with the store."""
+        # A host that doesn't watch the store itself can only tell from its
+        # lease.
         is_followed = self.follower.is_reached or not self.follower.watches()
         return is_followed and self.registration.is_reached
 
@@ -229,7 +231,8 @@
         if self.catalogue.routes is None:
             return
         self.hosts.own_state = HostState.ACTIVE
-        # Not to all: of 195 hosts that start together each would hear 194.
+        # Not sent to all hosts: if 195 hosts start together, each would
+        # receive 194 heartbeats at once.
         self.heartbeats.beat()
         logs.event('host_ready', revision=self.catalogue.revision)
 
--- a/jacinthfold/gateway/drain.py
+++ b/jacinthfold/gateway/drain.py
@@ -1,47 +1,47 @@
-"""Decide what a host that is about to stop still takes.
+"""Decide which requests a draining host still accepts.
 
-Callers hold directory answers that name it for some seconds and keep using
-open connections, so it serves on; but a request that can't end before the
-process does would be cut, which callers see as a lost answer.
+Callers cache directory responses for some seconds and reuse open connections,
+so a draining host keeps serving. A request that can't complete before the
+process exits is rejected: cut off, it would be a lost response to its caller.
 """
 
 from jacinthfold.clock import Clock
 from jacinthfold.request.messages import Request
 
-# Requests sent this soon after the signal are taken whatever they are: nobody
-# can have heard of the stop.
+# All requests are accepted for this long after the signal: callers can't know
+# of the stop yet.
 ACCEPT_ALL_SECONDS = 2.0
-# An engine under load makes an output token in 4 to 9 ms; a caller's figure
-# of tokens is the most that may come.
+# An engine under load takes 4 to 9 ms for an output token. The caller's token
+# count is an upper bound.
 SECONDS_PER_OUTPUT_TOKEN = 0.011
 SECONDS_BEFORE_OUTPUT = 1.5
-# Left of the grace for the last bytes to be written.
+# Part of the grace period reserved for writing the last bytes.
 WRITE_MARGIN_SECONDS = 0.4
 
 
 class Drain:
-    """Hold when this host stops."""
+    """Track the drain of this host before it stops."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start as a host that stays."""
+        """Create the state of a host that is not draining."""
         self._clock = clock
         self._started_at: float | None = None
         self.ends_at = 0.0
 
     def begin(self, grace_seconds: float) -> None:
-        """Take that the process ends after the grace."""
+        """Start to drain; the process exits after the grace period."""
         self._started_at = self._clock.monotonic()
         self.ends_at = self._started_at + grace_seconds - WRITE_MARGIN_SECONDS
 
     @property
     def elapsed_seconds(self) -> float:
-        """Return the time since the host began to leave, 0 before."""
+        """Return the time since the drain began, 0 before it."""
         if self._started_at is None:
             return 0.0
         return self._clock.monotonic() - self._started_at
 
     def may_accept(self, request: Request) -> bool:
-        """Tell whether a request can end before this host does."""
+        """Return whether a request can complete before this host stops."""
         if self.elapsed_seconds <= ACCEPT_ALL_SECONDS:
             return True
         now = self._clock.monotonic()
--- a/jacinthfold/gateway/handlers.py
+++ b/jacinthfold/gateway/handlers.py
@@ -1,4 +1,4 @@
-"""Serve the listeners of an entry host."""
+"""Serve the readiness, directory, control and metrics listeners."""
 
 import json
 from collections.abc import Callable
@@ -23,15 +23,15 @@
 
 
 class ReadinessHandler:
-    """Tell whether this host takes callers."""
+    """Report whether this host is ready for requests."""
 
     def __init__(self, api: HostApi, is_ready: Callable[[], bool]) -> None:
-        """Take how the call looks and who knows."""
+        """Set the endpoint API and the readiness check."""
         self._api = api
         self._is_ready = is_ready
 
     async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
-        """Answer 200 or 503."""
+        """Respond with 200 if ready, 503 if not, 404 for other paths."""
         status = HTTPStatus.NOT_FOUND
         if self._api.is_readiness_request(request.target.decode('latin-1')):
             status = HTTPStatus.SERVICE_UNAVAILABLE
@@ -41,15 +41,15 @@
 
 
 class DirectoryHandler:
-    """Tell callers where to connect."""
+    """Tell callers which entry hosts to connect to."""
 
     def __init__(self, api: HostApi, directory: Directory) -> None:
-        """Take how the call looks and who chooses."""
+        """Set the endpoint API and the directory that selects hosts."""
         self._api = api
         self._directory = directory
 
     async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
-        """Name entry hosts, or 503 when none is known to serve."""
+        """Respond with entry hosts, or 503 if none is known to be serving."""
         query = self._api.parse_directory_request(
             request.target.decode('latin-1')
         )
@@ -65,18 +65,18 @@
 
 
 class ControlHandler:
-    """Give snapshots to entry hosts and the state to operators."""
+    """Serve catalogue snapshots to entry hosts and the state to operators."""
 
     def __init__(
         self, catalogue: Catalogue, dump_state: Callable[[], dict[str, Any]]
     ) -> None:
-        """Take what is told."""
+        """Set the catalogue and the function that dumps the state."""
         self._catalogue = catalogue
         self._compressed_snapshots = PackedSnapshots(catalogue)
         self._dump_state = dump_state
 
     async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
-        """Answer a snapshot or the state."""
+        """Respond with a snapshot or with the state as JSON."""
         target = request.target.decode('latin-1')
         path = target.partition('?')[0]
         if path == SNAPSHOT_PATH:
@@ -100,14 +100,14 @@
 
 
 class MetricsHandler:
-    """Show counters and histograms."""
+    """Expose counters and histograms."""
 
     def __init__(self, metrics: ProxyMetrics) -> None:
-        """Take the metrics."""
+        """Set the metrics to expose."""
         self._metrics = metrics
 
     async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
-        """Answer with all metrics as text."""
+        """Respond with all metrics in text format."""
         await answer.whole(
             HTTPStatus.OK, TEXT_HEADERS, self._metrics.exposition()
         )
--- a/jacinthfold/gateway/node.py
+++ b/jacinthfold/gateway/node.py
@@ -27,22 +27,23 @@
 from jacinthfold.transport.http_call import HttpCaller
 
 SETTINGS_CHECK_SECONDS = 2.0
-# Share of the grace after which no connection is accepted any more: callers
-# ask the directory every few seconds, and the rest is for what is in flight.
+# Fraction of the grace period after which no connection is accepted. Callers
+# query the directory every few seconds; the remaining time is for requests in
+# flight.
 ACCEPT_GRACE_FRACTION = 0.75
-# Idle connections are closed after this, when callers have had an answer of
-# the directory that no longer names this host.
+# Idle connections stay open this long, until callers have received a directory
+# response without this host.
 IDLE_CLOSE_DELAY_SECONDS = 2.5
 DRAIN_POLL_SECONDS = 0.05
-# Between a duty's failure and its next try: short beside the seconds within
-# which changes must be followed, long enough to bound the log.
+# Delay before a failed background task is restarted: short compared with the
+# seconds within which changes must be applied, long enough to bound the log.
 TASK_RESTART_SECONDS = 0.3
 
 BackgroundTask = Callable[[], Coroutine[Any, Any, None]]
 
 
 class GatewayNode:
-    """Hold every part of one entry host."""
+    """Hold all components of one entry host."""
 
     def __init__(
         self,
@@ -52,7 +53,7 @@
         caller: HttpCaller,
         clock: Clock,
     ) -> None:
-        """Put the parts together; nothing runs yet."""
+        """Create and connect the components; nothing runs yet."""
         self.settings = settings
         self._settings_path = settings_path
         self._clock = clock
@@ -70,7 +71,7 @@
         self.metrics.lines_left_out.set_function(logs.dropped_line_count)
 
     async def run(self) -> None:
-        """Serve until asked to stop."""
+        """Serve until SIGTERM or SIGINT."""
         loop = asyncio.get_running_loop()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, self._stop_requested.set)
@@ -244,17 +245,19 @@
         return self._callers.in_service_count + self._relay.in_service_count
 
 
-async def supervised(duty: BackgroundTask) -> None:
-    """Run a duty again whenever it fails, until cancelled."""
-    # A duty that ends unseen leaves a host that looks well and follows
-    # nothing: requests go to targets that left long ago. Ending the process
-    # cuts every answer on its way, at each host that met the same input.
+async def supervised(background_task: BackgroundTask) -> None:
+    """Run a background task, restarting it after each failure."""
+    # If a task died unnoticed, the host would look healthy but apply no more
+    # changes and send requests to targets that left long ago. Exiting instead
+    # would cut off all responses in flight, on every host with the same input.
     while True:
         try:
-            await duty()
+            await background_task()
         except Exception as error:
             logs.error(
-                'duty_failed', duty=duty.__qualname__, reason=repr(error)
+                'duty_failed',
+                duty=background_task.__qualname__,
+                reason=repr(error),
             )
             await asyncio.sleep(TASK_RESTART_SECONDS)
         else:
@@ -263,8 +266,9 @@
 
 def _own_record(settings: GatewaySettings) -> HostRecord:
     host, listen = settings.host, settings.listen
-    # Wall-clock nanoseconds: a later start has the larger number. A clock
-    # that was set back costs one lease of the earlier record.
+    # The incarnation is the wall-clock time in nanoseconds, so that a later
+    # start has a larger number. If the clock was set back, the earlier record
+    # stands until its lease expires.
     return HostRecord(
         host.name,
         time.time_ns(),
--- a/jacinthfold/gateway/organisations.py
+++ b/jacinthfold/gateway/organisations.py
@@ -1,4 +1,4 @@
-"""Put together what keeps organisations to their keys and caps."""
+"""Connect the components that enforce organisations' keys and caps."""
 
 from jacinthfold.catalogue.follower import Follower
 from jacinthfold.catalogue.metadata import MetadataStore
@@ -21,7 +21,7 @@
 
 
 class OrganisationAccess:
-    """Hold keys, proofs of what is known of them, and caps."""
+    """Hold the key gate, its freshness checks, and the caps."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         hosts: HostTable,
         clock: Clock,
     ) -> None:
-        """Put the parts together."""
+        """Create the components."""
         options = settings.organisations
         bound_seconds = options.revocation_ms / _MS or None
         self.key_gate = KeyGate(catalogue, bound_seconds)
@@ -43,16 +43,17 @@
         self._heartbeats: Heartbeats | None = None
 
     def connect(self, follower: Follower, heartbeats: Heartbeats) -> None:
-        """Take who watches the store, and whose socket carries messages."""
+        """Connect to the store follower and the socket for quota messages."""
         self.freshness_checker.watches = lambda: follower.watches()
         heartbeats.takers[QUOTA_MARK] = self.quota.take
         self.quota.post.send = heartbeats.send
         self._heartbeats = heartbeats
 
     def apply_routes(self, table: RouteTable) -> None:
-        """Take newer organisations."""
+        """Apply the organisations of a newer configuration."""
         self.quota.pools.follow(table)
-        # Reads and bytes are spent on it only where keys must end in time.
+        # Freshness checks cost store reads and message bytes, so they run only
+        # if the time to revoke a key is bounded.
         is_needed = bool(len(table.organisations)) and self.key_gate.is_bounded
         self.freshness_checker.is_needed = is_needed
         if self._heartbeats is not None:
@@ -61,7 +62,7 @@
     def build_admission(
         self, quarantine: Quarantine, metrics: ProxyMetrics
     ) -> Admission:
-        """Return what looks at requests before each send."""
+        """Return the check that each request passes before it is sent."""
         quota = self.quota
         metrics.knowledge_age.set_function(lambda: self.key_gate.age_seconds)
         metrics.shares_held.set_function(
@@ -71,7 +72,7 @@
         return Admission(self.key_gate, quarantine, quota.permits, metrics)
 
     def dump_state(self) -> dict[str, object]:
-        """Return what this host believes of keys and caps."""
+        """Return the state of keys and caps for operators."""
         return {
             'knowledge_age_seconds': self.key_gate.age_seconds,
             'cap_shares': self.quota.pools.held(),
--- a/jacinthfold/gateway/request_handlers.py
+++ b/jacinthfold/gateway/request_handlers.py
@@ -1,4 +1,4 @@
-"""Serve the requests of callers and of entry hosts of other regions."""
+"""Handle requests from callers and relays from other regions."""
 
 from http import HTTPStatus
 
@@ -14,17 +14,17 @@
 from jacinthfold.request.messages import Request
 from jacinthfold.transport.dialect import Dialect
 
-# Of an answer to a caller whose key nobody holds (RFC 9110, section 11.6.1).
+# Required in a 401 response, sent for unknown keys (RFC 9110, section 11.6.1).
 CHALLENGE = (b'WWW-Authenticate', b'Bearer')
-# A host that knows no routes yet asks peers and the store several times in
-# this long.
+# Retry-After of a host without routes. It queries peers and the store several
+# times within this time.
 NOT_READY_RETRY_SECONDS = 0.5
-# Another host can serve at once; this one is about to stop.
+# Retry-After of a draining host: another host can serve at once.
 OTHER_HOST_RETRY_SECONDS = 0.05
 
 
 class CallerHandler:
-    """Serve callers' requests by the routes in force."""
+    """Handle callers' requests according to the routes in force."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         drain: Drain,
         clock: Clock,
     ) -> None:
-        """Take the routes, the keys and who serves."""
+        """Set the catalogue, the key gate and the forwarder."""
         self._key_gate = key_gate
         self._drain = drain
         self._catalogue = catalogue
@@ -44,7 +44,7 @@
         self._clock = clock
 
     async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
-        """Find a request's route and have it served."""
+        """Match a request to its route and forward it."""
         now = self._clock.monotonic()
         headers = relay_header.without_internal(request.headers)
         try:
@@ -88,7 +88,7 @@
         await self._forwarder.serve(parsed, answer)
 
     def _identify(self, parsed: Request) -> HTTPStatus:
-        """Find who calls; return 200, or the status to answer with."""
+        """Identify the organisation; return 200 or the rejection status."""
         parsed.headers = self._dialect.without_credentials(parsed.headers)
         parsed.facts.caller = ''
         if parsed.route.is_public:
@@ -101,7 +101,7 @@
                 return HTTPStatus.UNAUTHORIZED
             return HTTPStatus.SERVICE_UNAVAILABLE
         parsed.organisation = organisation
-        # The quarantine knows callers apart by this.
+        # The quarantine distinguishes callers by this name.
         parsed.facts.caller = organisation.name
         return HTTPStatus.OK
 
@@ -133,7 +133,7 @@
 
 
 class RelayHandler:
-    """Serve requests that entry hosts of other regions passed on."""
+    """Handle requests relayed by entry hosts of other regions."""
 
     def __init__(
         self,
@@ -143,7 +143,7 @@
         drain: Drain,
         clock: Clock,
     ) -> None:
-        """Take who calls and who serves."""
+        """Set the key gate and the forwarder."""
         self._key_gate = key_gate
         self._drain = drain
         self._forwarder = forwarder
@@ -151,7 +151,7 @@
         self._clock = clock
 
     async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
-        """Serve a request under the route that came with it."""
+        """Forward a request by the route in its relay header."""
         try:
             facts = self._dialect.read_request(request.headers)
             parsed = Request(
@@ -171,7 +171,8 @@
             parsed.organisation = self._key_gate.named(caller)
             parsed.facts.caller = caller
             if parsed.organisation is None:
-                # Not known yet, or not any more: the other host may know more.
+                # The organisation may be new or removed; the relaying host
+                # may have a newer configuration.
                 await _reject_unknown_organisation(
                     parsed, self._dialect, answer
                 )
@@ -185,7 +186,7 @@
 async def _reject_draining(
     parsed: Request, dialect: Dialect, answer: CallerAnswer
 ) -> None:
-    """Send a caller to another host."""
+    """Reject a request so that the caller retries at another host."""
     logs.event('request_refused_leaving', request=parsed.facts.request_id)
     await _reject(parsed, dialect, answer)
 
@@ -193,7 +194,7 @@
 async def _reject_unknown_organisation(
     parsed: Request, dialect: Dialect, answer: CallerAnswer
 ) -> None:
-    """Tell another host that nobody is known here for whom it asks."""
+    """Reject a relayed request of an organisation unknown to this host."""
     logs.event('request_refused_unknown', request=parsed.facts.request_id)
     await _reject(parsed, dialect, answer)
 
--- a/jacinthfold/gateway/settings.py
+++ b/jacinthfold/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Read and check the settings of an entry host that follows a store."""
+"""Read and check the settings of a gateway entry host."""
 
 import configparser
 from collections.abc import Callable
@@ -154,7 +154,7 @@
 
 
 class GatewaySettings:
-    """Hold all settings of an entry host that follows a store."""
+    """Hold all settings of a gateway entry host."""
 
     __slots__ = (
         'data_centres',
@@ -170,7 +170,7 @@
     def __init__(
         self, sections: dict[str, Section], data_centres: dict[str, str]
     ) -> None:
-        """Take the checked sections and the region of each data centre."""
+        """Set the checked sections and the region of each data centre."""
         self.host = sections['host']
         self.listen = sections['listen']
         self.peers = sections['peers']
@@ -182,7 +182,7 @@
 
 
 def load(path: Path) -> GatewaySettings:
-    """Return the settings of a file; raise SettingsError."""
+    """Return the settings in a file; raise SettingsError."""
     try:
         content = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
@@ -191,7 +191,7 @@
 
 
 def parse(content: str) -> GatewaySettings:
-    """Return the settings in a text; raise SettingsError."""
+    """Return the settings in a string; raise SettingsError."""
     parser = configparser.ConfigParser(interpolation=None)
     parser.optionxform = str  # type: ignore[assignment,method-assign]
     try:
