--- a/jacinthfold/platform/__init__.py
+++ b/jacinthfold/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translate between the gateway and the platform that it runs on."""
+"""Adapters between the gateway and the platform that it runs on."""
--- a/jacinthfold/platform/api.py
+++ b/jacinthfold/platform/api.py
@@ -1,4 +1,4 @@
-"""Translate the calls that the platform and its callers make to a host."""
+"""Parse and encode the platform's readiness and directory endpoints."""
 
 import json
 from collections.abc import Iterable
@@ -11,16 +11,19 @@
 
 
 class PlatformApi:
-    """Read and write the calls beside requests."""
+    """Parse and encode calls to the platform's host endpoints."""
 
     def is_readiness_request(self, target: str) -> bool:
-        """Tell whether a call asks if this host is ready."""
+        """Return whether a request target is the readiness endpoint."""
         return urlsplit(target).path == READY_PATH
 
     def parse_directory_request(
         self, target: str
     ) -> tuple[str, str, str] | None:
-        """Return host name, region and data centre asked for, or None."""
+        """Return the host name, region and data centre of a directory query.
+
+        Return None if the target is not the directory endpoint.
+        """
         parts = urlsplit(target)
         if parts.path != DIRECTORY_PATH:
             return None
@@ -33,6 +36,6 @@
     def encode_directory_response(
         self, hosts: Iterable[HostRecord], seconds: int
     ) -> bytes:
-        """Return the body that names entry hosts to a caller."""
+        """Return the response body with the entry hosts to connect to."""
         addresses = [f'{host.address}:{host.caller_port}' for host in hosts]
         return json.dumps({'addresses': addresses, 'ttl-s': seconds}).encode()
--- a/jacinthfold/platform/dialect.py
+++ b/jacinthfold/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Translate the platform's headers."""
+"""Parse and encode the platform's HTTP headers."""
 
 import re
 from http import HTTPStatus
@@ -31,8 +31,8 @@
 AUTHORIZATION = b'Authorization'
 TENANT = b'Tenant'
 
-# Headers of a request that only this system may set: what a caller sends
-# under these names is dropped.
+# Request headers that only this system may set. They are dropped from callers'
+# requests.
 SYSTEM_HEADERS = frozenset(
     (
         b'hold',
@@ -45,32 +45,32 @@
         b'expect-version',
     )
 )
-# Where callers have keys, neither comes from them to a target.
+# If callers must identify themselves, neither header is forwarded from them.
 CREDENTIAL_HEADERS = frozenset((AUTHORIZATION.lower(), TENANT.lower()))
 REPLACED_HEADERS = SYSTEM_HEADERS | {
     REQUEST_DEADLINE.lower(),
     LAST_EVENT_ID.lower(),
 }
-# Urgency 0 is first, 9 last; routes rank from 0.
+# The highest value of Request-Priority; 0 is the most urgent, as in routes.
 PRIORITY_LIMIT = 9
-# Far above any prompt; a million of them still fit 64 bits.
+# Far above any prompt, and the sum of a million of them still fits 64 bits.
 TOKENS_LIMIT = 1_000_000_000
-# Requests a second beyond which a limit is a mistake of its writer.
+# A higher limit, in requests a second, is taken for an error of the sender.
 MAX_LIMIT_PER_SECOND = 1_000_000.0
-# Longer rests are asked for again after this: a mistaken word must not take a
-# target away for good.
+# Longer backoffs are shortened to this; a target may request another one. So a
+# wrong header value can't disable a target for good.
 MAX_BACKOFF_SECONDS = 60.0
-# Characters of an unreadable number that are logged.
+# Characters of an unreadable header value that are logged.
 LOGGED_CHARACTERS = 20
 _MS = 1000
 _DECIMAL = re.compile(r'[0-9]{1,12}(\.[0-9]{1,30})?')
 
 
 class PlatformDialect:
-    """Read and write the headers of the platform's callers and targets."""
+    """Parse and encode headers for the platform's callers and targets."""
 
     def read_request(self, headers: Headers) -> RequestFacts:
-        """Return what a request's headers say; raise ValueError."""
+        """Parse the headers of a request; raise ValueError."""
         host = first_header(headers, b'host').decode('latin-1')
         facts = RequestFacts(
             _header_text(headers, REQUEST_ID), host.rsplit(':', 1)[0].lower()
@@ -92,7 +92,7 @@
         return facts
 
     def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
-        """Return what an answer's headers say."""
+        """Parse the headers of a response."""
         facts = AnswerFacts()
         facts.request_id = _header_text(headers, REQUEST_ID)
         facts.is_not_run = bool(first_header(headers, NOT_EXECUTED.lower()))
@@ -114,7 +114,7 @@
         left_seconds: float,
         last_event_id: str,
     ) -> Headers:
-        """Return headers for a target, without framing."""
+        """Return the headers to send to a target, without framing."""
         headers = [
             (name, content)
             for name, content in without_framing(request.headers)
@@ -134,7 +134,7 @@
         return headers
 
     def without_credentials(self, headers: Headers) -> Headers:
-        """Return headers that neither hold a key nor say who calls."""
+        """Return headers without the caller's key and identity."""
         return [
             (name, content)
             for name, content in headers
@@ -142,18 +142,18 @@
         ]
 
     def copy_headers(self, address: tuple[str, int]) -> Headers:
-        """Return headers that have a target copy what another has read."""
+        """Return headers that make a target copy cached prefixes of another."""
         host, port = address
         return [(KV_FETCH, f'{host}:{port}'.encode())]
 
     def own_headers(self, request_id: str) -> Headers:
-        """Return headers that every answer of our own carries."""
+        """Return headers for the responses that this host generates."""
         if not request_id:
             return []
         return [(REQUEST_ID, request_id.encode('latin-1'))]
 
     def retry_headers(self, after_seconds: float) -> Headers:
-        """Return headers that say when to come back."""
+        """Return headers with the time to wait before a retry."""
         return [(RETRY_AFTER, f'{after_seconds:.3f}'.encode())]
 
 
@@ -220,11 +220,11 @@
 
 
 def _parse_token_count(content: str) -> int:
-    # Hosts add these up and tell each other the sums: a figure beyond 64 bits
-    # failed every collector that heard of it, a negative one drew all requests.
+    # Hosts sum these and exchange the sums. A sum beyond 64 bits failed every
+    # collector that received it, and a negative count attracted all requests.
     tokens = int(content or 0)
     if not 0 <= tokens <= TOKENS_LIMIT:
-        raise ValueError(f'{content[:20]} tokens')
+        raise ValueError(f'token count out of range: {content[:20]}')
     return tokens
 
 
--- a/jacinthfold/platform/documents.py
+++ b/jacinthfold/platform/documents.py
@@ -1,4 +1,4 @@
-"""Translate what the platform's operators and targets write in the store."""
+"""Decode the platform's records in the metadata store."""
 
 import json
 from typing import Any
@@ -21,7 +21,7 @@
 HOST_PREFIX = 'hosts/'
 QUARANTINE_PREFIX = 'quarantine/'
 ISSUER_PREFIX = 'issuers/'
-# What reading a document of other shapes than expected may raise.
+# Errors raised by decoding a document of an unexpected structure.
 MALFORMED_ERRORS = (
     ValueError,
     LookupError,
@@ -36,10 +36,10 @@
 
 
 class PlatformReader:
-    """Turn the store's items into types."""
+    """Decode the store's records by their keys."""
 
     def kind_of(self, key: str) -> tuple[Kind, str]:
-        """Return what a key is about and the name within that kind."""
+        """Return the kind of a key's record and its name within that kind."""
         if key == ROUTES_KEY:
             return Kind.ROUTES, key
         for prefix, kind in (
@@ -54,14 +54,14 @@
         return Kind.OTHER, key
 
     def read_routes(self, content: bytes) -> RouteTable:
-        """Return the operator's configuration; raise UnreadableRecordError."""
+        """Decode the operator's configuration; raise UnreadableRecordError."""
         try:
             return _read_table(json.loads(content))
         except MALFORMED_ERRORS as error:
             raise UnreadableRecordError(repr(error)) from error
 
     def read_target(self, name: str, content: bytes) -> TargetRecord:
-        """Return what a target tells of itself; raise UnreadableRecordError."""
+        """Decode a target's record; raise UnreadableRecordError."""
         return target_records.read_target(name, content)
 
 
--- a/jacinthfold/platform/organisations.py
+++ b/jacinthfold/platform/organisations.py
@@ -1,4 +1,4 @@
-"""Decode what operators write of organisations."""
+"""Decode the organisations of the operator's configuration."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
     OrganisationTable,
 )
 
-# Hosts add these up over windows of seconds; figures beyond are a mistake.
+# Hosts sum these over windows of seconds; a higher value is a mistake.
 RATE_LIMIT = 10**15
 PRIORITY_LIMIT = 1000
 NAME_LIMIT = 200
@@ -21,7 +21,7 @@
     api_keys: list[str] = []
     priority: int | None = None
     unit: str = ''
-    # What a request counts that names no tokens.
+    # Tokens counted for a request without a token count.
     uncached_tokens: int = 0
     rate_per_s: float = 0
     burst: float = 0
@@ -36,10 +36,10 @@
 
 def _organisation(entry: _OrganisationEntry) -> Organisation:
     if not 0 < len(entry.name) <= NAME_LIMIT or not entry.name.isprintable():
-        raise ValueError(f'no name for an organisation: {entry.name[:20]!r}')
+        raise ValueError(f'invalid organisation name: {entry.name[:20]!r}')
     keys = [key.encode() for key in entry.api_keys]
     if any(not 0 < len(key) <= KEY_LIMIT_BYTES for key in keys):
-        raise ValueError(f'{entry.name}: a key without content, or too long')
+        raise ValueError(f'{entry.name}: an API key is empty or too long')
     organisation = Organisation(entry.name, map(digest_of, keys))
     if entry.priority is not None:
         _check_range(entry.name, 'priority', entry.priority, PRIORITY_LIMIT)
--- a/jacinthfold/platform/program.py
+++ b/jacinthfold/platform/program.py
@@ -1,4 +1,4 @@
-"""Run an entry host on the platform."""
+"""Run a gateway entry host on the platform."""
 
 import asyncio
 from pathlib import Path
@@ -14,12 +14,12 @@
 from jacinthfold.platform.store import PlatformStore
 from jacinthfold.transport.http_call import HttpCaller
 
-# A reader that stands still must not hold up the end of the process.
+# A log reader that has stalled must not delay the exit of the process.
 LOG_FLUSH_TIMEOUT_SECONDS = 0.2
 
 
 def run(path: Path) -> None:
-    """Serve until asked to stop; raise SettingsError."""
+    """Serve until SIGTERM or SIGINT; raise SettingsError."""
     settings = gateway_settings.load(path)
     logs.set_up_non_blocking(settings.host.log_level, settings.host.name)
     try:
--- a/jacinthfold/platform/store.py
+++ b/jacinthfold/platform/store.py
@@ -1,4 +1,4 @@
-"""Call the platform's metadata store."""
+"""Client of the platform's metadata store."""
 
 import base64
 import json
@@ -24,32 +24,32 @@
 from jacinthfold.transport.errors import ProxyError
 from jacinthfold.transport.http_call import CallAnswer, HttpCaller
 
-# The store answers in 4 ms; a slow one takes some hundred.
+# The store usually responds in 4 ms, and in some hundred ms when it is slow.
 CALL_TIMEOUT_SECONDS = 1.5
-# A watch that hears nothing after its own wait and this is on a dead
+# A watch without a response this long after its own wait time is on a dead
 # connection.
 WATCH_MARGIN_SECONDS = 1.0
 _MS = 1000
 
 
 class PlatformStore:
-    """List, follow and write the platform's metadata."""
+    """List, watch and write records of the metadata store."""
 
     def __init__(self, address: tuple[str, int], caller: HttpCaller) -> None:
-        """Take where the store is and who makes the calls."""
+        """Set the store's IP address and port, and the HTTP client."""
         self._address = address
         self._caller = caller
 
     async def list_all(self) -> tuple[list[Record], int]:
-        """Return all records of interest and a revision not above them."""
-        # All keys at once: nearly all are of interest, and each call is
-        # priced, five for each start of a host.
+        """Return all records and a revision that is not newer than them."""
+        # One listing of all keys: nearly all are needed, and each call has a
+        # cost. A listing per prefix would be five calls for each host start.
         return await self._list('')
 
     async def changes_since(
         self, revision: int, wait_seconds: float
     ) -> tuple[list[Record], int]:
-        """Return changes after a revision, waiting for the first one."""
+        """Wait for changes after a revision; return them and the latest one."""
         document = await self._get(
             '/api/kv-watch',
             {
@@ -63,28 +63,28 @@
         return records, max(revision, document['store-revision'])
 
     async def current_revision(self) -> int:
-        """Return the store's revision, read and not from memory."""
-        # Nothing lies behind this key: the answer is small.
+        """Read the current revision from the store."""
+        # No key with this prefix sorts after it, so the response is small.
         query = {'prefix': ROUTES_KEY, 'after': ROUTES_KEY}
         document = await self._get('/api/kv-range', query, CALL_TIMEOUT_SECONDS)
         return int(document['store-revision'])
 
     async def grant_lease(self, seconds: float) -> int:
-        """Return a new lease that ends unless it is renewed."""
+        """Create a lease that expires after some seconds unless renewed."""
         body = {'ttl-ms': int(seconds * _MS)}
         document = await self._call('POST', '/api/kv-lease', body)
         return int(document['lease'])
 
     async def renew_lease(self, lease: int) -> None:
-        """Renew a lease; raise LeaseLostError when it has ended."""
+        """Renew a lease; raise LeaseLostError if it has expired."""
         await self._call('POST', f'/api/kv-keep/{lease}', {})
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease and remove what was written under it."""
+        """Revoke a lease and remove the records written under it."""
         await self._call('DELETE', f'/api/kv-lease-end/{lease}', {})
 
     async def write_host(self, name: str, content: bytes, lease: int) -> None:
-        """Write an entry host's record, whatever stood there before."""
+        """Write an entry host's record unconditionally."""
         put = _put(f'{HOST_PREFIX}{name}', content, lease)
         body = {'expected-rev': [], 'puts': [put], 'remove': []}
         await self._call('POST', '/api/kv-txn', body)
@@ -92,7 +92,10 @@
     async def claim(
         self, name: str, content: bytes, *, after: int, lease: int
     ) -> int:
-        """Write an issuer's record in place of a revision, 0 for none."""
+        """Write an issuer's record if the stored one has a given revision.
+
+        Revision 0 means that there is no record. Raise MetadataConflictError.
+        """
         key = f'{ISSUER_PREFIX}{name}'
         expected = [{'key': key, 'revision': after}]
         puts = [_put(key, content, lease)]
@@ -103,7 +106,7 @@
     async def write_quarantine(
         self, contents: Mapping[str, bytes], lease: int
     ) -> None:
-        """Write records on requests under which targets ended."""
+        """Write quarantine records of requests that crashed targets."""
         puts = [
             _put(f'{QUARANTINE_PREFIX}{name}', content, lease)
             for name, content in contents.items()
@@ -112,7 +115,7 @@
         await self._call('POST', '/api/kv-txn', body)
 
     async def create_quarantine(self, name: str, content: bytes) -> None:
-        """Write such a record for good; raise MetadataConflictError."""
+        """Create a permanent quarantine record; raise MetadataConflictError."""
         key = f'{QUARANTINE_PREFIX}{name}'
         expected = [{'key': key, 'revision': 0}]
         puts = [_put(key, content, 0)]
@@ -127,8 +130,8 @@
             document = await self._get(
                 '/api/kv-range', query, CALL_TIMEOUT_SECONDS
             )
-            # Pages are no snapshot: what changes between them is seen by a
-            # watch that begins at the first page's revision.
+            # Pages are not a consistent snapshot. A watch that starts at the
+            # first page's revision receives the changes made in between.
             if first_revision is None:
                 first_revision = int(document['store-revision'])
             items = document['items']
@@ -191,7 +194,7 @@
     try:
         return base64.b64decode(item['value'], validate=True)
     except (ValueError, TypeError, KeyError) as error:
-        # Another writer's item: nothing readable, so that the record counts
-        # as unreadable and the others of the same answer hold.
+        # The item was written by another program. Empty content makes the
+        # record unreadable without rejecting the others in the response.
         logs.warning('item_unreadable', key=item['key'], reason=str(error))
         return b''
--- a/jacinthfold/platform/target_records.py
+++ b/jacinthfold/platform/target_records.py
@@ -1,4 +1,4 @@
-"""Decode what targets write of themselves in the store."""
+"""Decode the records that targets write into the metadata store."""
 
 import ipaddress
 from enum import Enum
@@ -8,11 +8,12 @@
 from jacinthfold.catalogue.model import TargetRecord
 from jacinthfold.catalogue.records import UnreadableRecordError
 
-# Far above any real target; figures beyond them are another writer's.
+# Far above any real target. A higher value means that the record was not
+# written by a target.
 SLOTS_LIMIT = 1_000_000
 WARMUP_LIMIT_MS = 3_600_000
 PORT_LIMIT = 65535
-# Unix milliseconds of the year 2286: one digit more than any clock shows.
+# Unix milliseconds of the year 2286, one digit more than any current time.
 BORN_LIMIT_MS = 10**13
 _MS = 1000
 
@@ -23,20 +24,21 @@
 
 
 class _TargetEntry(msgspec.Struct, rename='kebab'):
-    # The service, for which the wire has the name of another thing.
+    # The name of the service.
     backend: str
     address: str
     # The data centre.
     zone: str
-    # Of the target's program, not of this entry.
+    # The version of the target's program, not of this record.
     version: str
     slots: int
     state: _State
-    # Counts the entries that this life of the target wrote.
+    # Number of this record among those of the same incarnation.
     seq: int
     warmup_left_ms: float
     remaining_ms: float | None = None
-    # When this life began, by the target's clock; older targets leave it out.
+    # Start of the incarnation in Unix milliseconds by the target's clock. Older
+    # targets omit it.
     born: int | msgspec.UnsetType = msgspec.UNSET
 
 
@@ -44,7 +46,7 @@
 
 
 def read_target(instance: str, content: bytes) -> TargetRecord:
-    """Return what a target tells of itself; raise UnreadableRecordError."""
+    """Decode a target's record; raise UnreadableRecordError."""
     try:
         entry = _decoder.decode(content)
     except (ValueError, RecursionError) as error:
@@ -70,7 +72,7 @@
 def _parse_endpoint(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(':')
     if not (port.isascii() and port.isdigit() and len(port) <= 5):
-        raise UnreadableRecordError(f'no port in {address[:40]!r}')
+        raise UnreadableRecordError(f'no valid port in {address[:40]!r}')
     _check_range('port', int(port), 1, PORT_LIMIT)
     try:
         ipaddress.IPv4Address(host)
