--- a/jacinthfold/__main__.py
+++ b/jacinthfold/__main__.py
@@ -1,4 +1,4 @@
-"""Run the program."""
+"""Entry point of the program."""
 
 import signal
 import sys
@@ -9,11 +9,11 @@
 
 
 def main() -> int:
-    """Run with the arguments and streams of this process."""
+    """Run the command given by the arguments of this process."""
     if DAEMON_COMMANDS.intersection(sys.argv[1:2]):
         _install_startup_handlers()
-    # Loading the libraries takes half a second, in which a reload's SIGHUP
-    # would end the process without a word: the handlers come first.
+    # Importing the libraries takes half a second. The handlers are installed
+    # first, as a SIGHUP to reload would otherwise kill the process silently.
     from jacinthfold.serve.context import Environment  # noqa: PLC0415
     from jacinthfold.serve.core import main as run  # noqa: PLC0415
 
@@ -21,9 +21,9 @@
 
 
 def _install_startup_handlers() -> None:
-    """Outlive a reload and end well on a stop until the real handlers stand."""
-    # The settings are read later, so a reload has nothing to do yet; nothing
-    # listens yet, so a stop cuts nobody off.
+    """Ignore SIGHUP and exit on SIGTERM until real handlers are set."""
+    # The settings are read later, so a reload has nothing to do yet. No
+    # listener is open yet, so a stop cuts off no request.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, _exit_on_stop)
 
--- a/jacinthfold/cli.py
+++ b/jacinthfold/cli.py
@@ -1,4 +1,4 @@
-"""Declare the commands and their options."""
+"""Command-line interface: the commands and their options."""
 
 import functools
 import json
@@ -34,7 +34,7 @@
 
 
 def _control_options(function: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the options that every operators' command has."""
+    """Add the options common to all operator commands."""
 
     @click.option(
         '--entry-host',
@@ -175,7 +175,7 @@
 @click.argument('key')
 @click.pass_obj
 def print_key_hash(env: Environment, key: str) -> None:
-    """Print what intents hold of a caller's key, in `key_hashes`."""
+    """Print the hash of a caller's key, for `key_hashes` in intents."""
     click.echo(hash_key(key), env.stdout)
 
 
@@ -233,10 +233,10 @@
 def explain(
     env: Environment, request_id: str, files: tuple[TextIO, ...]
 ) -> None:
-    """Tell a request's story from logs of hosts (FILES or standard input)."""
+    """Show a request's timeline from host logs (FILES or standard input)."""
     from jacinthfold.explain import request_timeline
 
-    lines = [line for one in files or (env.stdin,) for line in one]
+    lines = [line for log in files or (env.stdin,) for line in log]
     timeline = request_timeline(lines, request_id)
     if not timeline:
         raise CommandError(
--- a/jacinthfold/clock.py
+++ b/jacinthfold/clock.py
@@ -1,4 +1,4 @@
-"""Tell the time through an interface, so that tests can set it."""
+"""Clock interface that tests can replace."""
 
 import time
 from datetime import UTC, datetime
@@ -6,27 +6,27 @@
 
 
 class Clock(Protocol):
-    """Give monotonic seconds and the date."""
+    """Provide monotonic time and the date."""
 
     def monotonic(self) -> float:
-        """Return seconds that never go back, from an arbitrary start."""
+        """Return monotonic seconds from an arbitrary start."""
 
     def boottime(self) -> float:
-        """Return such seconds that run on while the machine is suspended."""
+        """Return monotonic seconds that include the time in suspend."""
 
     def now(self) -> datetime:
         """Return the date and time in UTC."""
 
 
 class SystemClock:
-    """Read the machine's clocks."""
+    """Read the system clocks."""
 
     def monotonic(self) -> float:
-        """Return seconds that never go back, from an arbitrary start."""
+        """Return monotonic seconds from an arbitrary start."""
         return time.monotonic()
 
     def boottime(self) -> float:
-        """Return such seconds that run on while the machine is suspended."""
+        """Return monotonic seconds that include the time in suspend."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def now(self) -> datetime:
--- a/jacinthfold/commands.py
+++ b/jacinthfold/commands.py
@@ -1,4 +1,4 @@
-"""Do what the operators' commands ask of an entry host."""
+"""Operator commands that call the control interface of an entry host."""
 
 import json
 from collections.abc import Iterable, Sequence
@@ -19,19 +19,19 @@
 
 
 class CommandError(Exception):
-    """Report a command that failed, with its exit status."""
+    """Report a failed command with its exit status."""
 
     def __init__(self, message: str, status: ExitStatus) -> None:
-        """Take the line for the user and the exit status."""
+        """Set the message for the user and the exit status."""
         super().__init__(message)
         self.status = status
 
 
 class ControlClient:
-    """Call the operators' interface of an entry host."""
+    """Call the control interface of an entry host."""
 
     def __init__(self, base_url: str, operator_key: str, operator: str) -> None:
-        """Take the control URL, the key and the operator's name."""
+        """Set the control URL, the operator key and the operator's name."""
         self._base_url = base_url.rstrip('/')
         self._headers = {
             'Authorization': f'Bearer {operator_key}',
@@ -40,7 +40,7 @@
         self._client = HttpClient()
 
     def call(self, method: str, path: str, document: object = None) -> Any:
-        """Return the decoded answer; raise CommandError."""
+        """Send a request and return the decoded JSON; raise CommandError."""
         try:
             answer = self._client.call_json(
                 method,
@@ -60,20 +60,20 @@
 
 
 class Output:
-    """Print tables for people and JSON for programs."""
+    """Print either text or JSON."""
 
     def __init__(self, env: Environment, *, as_json: bool) -> None:
-        """Take the streams and the form."""
+        """Set the streams and the output format."""
         self._env = env
         self._as_json = as_json
 
     def line(self, text: str = '') -> None:
-        """Print a line for people."""
+        """Print a line, unless the output is JSON."""
         if not self._as_json:
             click.echo(text, file=self._env.stdout)
 
     def document(self, document: object) -> None:
-        """Print a document for programs."""
+        """Print a document as JSON, if the output is JSON."""
         if self._as_json:
             click.echo(
                 json.dumps(document, ensure_ascii=False), file=self._env.stdout
@@ -82,7 +82,7 @@
     def table(
         self, titles: Sequence[str], rows: Iterable[Sequence[Any]]
     ) -> None:
-        """Print rows below titles, in even columns."""
+        """Print rows below titles, in aligned columns."""
         lines = [list(titles), *([str(cell) for cell in row] for row in rows)]
         widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
         for line in lines:
@@ -103,7 +103,7 @@
 
 
 def show_deployment(output: Output, deployment: dict[str, Any]) -> None:
-    """Print what is in force."""
+    """Print the deployment in force."""
     output.document(deployment)
     output.line(f'revision {deployment["revision"]}')
     output.line()
@@ -111,14 +111,14 @@
         ('TARGET', 'STATE', 'SERVES', 'REGION', 'DATA CENTRE', 'URL'),
         [
             (
-                one['name'],
-                one['state'],
-                ','.join(one['serves']),
-                one['region'],
-                one['data_centre'],
-                one['url'],
+                target['name'],
+                target['state'],
+                ','.join(target['serves']),
+                target['region'],
+                target['data_centre'],
+                target['url'],
             )
-            for one in deployment['target']
+            for target in deployment['target']
         ],
     )
     output.line()
@@ -126,20 +126,20 @@
         ('ORGANISATION', 'HOME', 'REGIONS', 'MODELS', 'SERVICES', 'LIMIT/S'),
         [
             (
-                one['name'],
-                one['home'],
-                ','.join(one['regions']),
-                ','.join(one['models']),
-                ','.join(one['services']),
-                one['limit_requests_per_second'] or '-',
+                organisation['name'],
+                organisation['home'],
+                ','.join(organisation['regions']),
+                ','.join(organisation['models']),
+                ','.join(organisation['services']),
+                organisation['limit_requests_per_second'] or '-',
             )
-            for one in deployment['organisation']
+            for organisation in deployment['organisation']
         ],
     )
 
 
 def show_history(output: Output, changes: list[dict[str, Any]]) -> None:
-    """Print who changed what, when."""
+    """Print the history of confirmed changes."""
     output.document(changes)
     output.table(
         ('REVISION', 'CONFIRMED', 'OPERATOR', 'CHANGED'),
@@ -149,7 +149,8 @@
                 change['confirmed_at'],
                 change['operator'],
                 ','.join(
-                    f'{one["kind"]}/{one["name"]}' for one in change['intents']
+                    f'{intent["kind"]}/{intent["name"]}'
+                    for intent in change['intents']
                 ),
             )
             for change in changes
@@ -180,14 +181,14 @@
         ('TARGET', 'CONFIGURED', 'FOUND', 'LOAD', 'SLOTS', 'FAILURES'),
         [
             (
-                one['name'],
-                one['configured'],
-                one['found'],
-                one['load'],
-                one['slots'],
-                one['failures_in_a_row'],
+                target['name'],
+                target['configured'],
+                target['found'],
+                target['load'],
+                target['slots'],
+                target['failures_in_a_row'],
             )
-            for one in status['targets']
+            for target in status['targets']
         ],
     )
 
--- a/jacinthfold/config.py
+++ b/jacinthfold/config.py
@@ -9,24 +9,24 @@
 
 
 class SettingsError(Exception):
-    """Report every fault of the settings at once."""
+    """Report all faults of the settings together."""
 
     def __init__(self, faults: Iterable[str]) -> None:
-        """Take one line for each fault: section, key, what is allowed."""
+        """Set one line for each fault: section, key, what is allowed."""
         self.faults = tuple(faults)
         super().__init__('; '.join(self.faults))
 
 
 class Section:
-    """Hold the values of one section, read as attributes."""
+    """Hold the values of one section as attributes."""
 
     def __init__(self, values: dict[str, Any]) -> None:
-        """Take the checked values."""
+        """Set the checked values."""
         self.__dict__.update(values)
 
     def __getattr__(self, name: str) -> Any:
-        """Raise for a setting that does not exist."""
-        raise AttributeError(f'there is no setting {name}')
+        """Raise AttributeError for a setting that does not exist."""
+        raise AttributeError(f'no setting is called {name}')
 
 
 class Settings:
@@ -44,7 +44,7 @@
     )
 
     def __init__(self, sections: dict[str, Section]) -> None:
-        """Take the checked sections."""
+        """Set the checked sections."""
         self.host = sections['host']
         self.platform = sections['platform']
         self.peers = sections['peers']
@@ -56,7 +56,7 @@
 
 
 def load(path: Path) -> Settings:
-    """Return the settings of a file; raise SettingsError."""
+    """Return the settings in a file; raise SettingsError."""
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
@@ -65,7 +65,7 @@
 
 
 def parse(text: str) -> Settings:
-    """Return the settings in a text; raise SettingsError."""
+    """Return the settings in a string; raise SettingsError."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text)
@@ -84,7 +84,7 @@
 
 
 def to_document(settings: Settings) -> dict[str, dict[str, Any]]:
-    """Return the settings in force, without the secrets."""
+    """Return the settings in force, with secrets hidden."""
     document: dict[str, dict[str, Any]] = {}
     for name in OPTIONS:
         values = dict(getattr(settings, name).__dict__)
--- a/jacinthfold/explain.py
+++ b/jacinthfold/explain.py
@@ -1,28 +1,28 @@
-"""Tell the story of one request from the logs of many hosts."""
+"""Extract the timeline of one request from the logs of many hosts."""
 
 import re
 from collections.abc import Iterable
 from datetime import datetime
 
-# A host's request line holds the identifier under this key; an answer that
-# came on the wrong connection names it under the second one.
+# The request identifier is logged under the key `request`, or under `answers`
+# for a response that arrived on the wrong connection.
 _REQUEST = re.compile(r'\b(?:request|answers)=(?P<id>"[^"]*"|\S+)')
 _TIME = re.compile(r'\btime=(?P<time>\S+)')
 _HOST = re.compile(r'\bhost=(?P<host>\S+)')
 _EVENT = re.compile(r'\bevent=(?P<event>\S+)')
 _TARGET = re.compile(r'\b(?:target|at)=(?P<target>\S+)')
-# Changes of belief this long before and during a request are part of its
-# story: a target that was set aside, a store that was lost.
+# State changes of a host or target are included from this long before the
+# request until its end, such as an ejected target or a lost store.
 CONTEXT_SECONDS = 5.0
 
 
 class LogLine:
-    """Hold what one line says."""
+    """Hold the fields of one log line."""
 
     __slots__ = ('event', 'host', 'request_id', 'target', 'text', 'time')
 
     def __init__(self, text: str) -> None:
-        """Take a line of a log."""
+        """Parse a line of a log."""
         self.text = text.strip()
         self.time = _first_match(_TIME, text, 'time')
         self.host = _first_match(_HOST, text, 'host')
@@ -32,10 +32,10 @@
 
 
 def request_timeline(lines: Iterable[str], request_id: str) -> list[str]:
-    """Return the lines about a request, in the order of their times.
+    """Return the log lines about a request, sorted by time.
 
-    Lines about the targets that it met are included: they tell what its
-    hosts believed.
+    State changes of its hosts and targets shortly before and during the request
+    are included.
     """
     parsed = [LogLine(text) for text in lines if 'event=' in text]
     own = [line for line in parsed if line.request_id == request_id]
--- a/jacinthfold/gateway/settings.py
+++ b/jacinthfold/gateway/settings.py
@@ -36,7 +36,7 @@
 
 ENDPOINT_FORMAT = 'an IP number and a port, as 10.0.0.1:8000'
 
-# Every setting, in the order of docs/SETTINGS.md.
+# All settings, in the order of docs/SETTINGS.md.
 GATEWAY_OPTIONS: dict[str, dict[str, Option]] = {
     'host': {
         'name': _required(
--- a/jacinthfold/hashing.py
+++ b/jacinthfold/hashing.py
@@ -1,4 +1,4 @@
-"""Hash names and keys so that every process agrees."""
+"""Hashes of names and keys that are the same in every process."""
 
 import hashlib
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
-    """Return names in rendezvous order for a key."""
+    """Return names in order of rendezvous hashing for a key."""
     return sorted(
         names,
         key=lambda name: xxhash.xxh64_intdigest(f'{key}\0{name}'.encode()),
@@ -16,5 +16,5 @@
 
 
 def hash_key(key: str) -> str:
-    """Return what the configuration keeps of a caller's key."""
+    """Return the hash under which the configuration holds a key."""
     return hashlib.sha256(key.encode()).hexdigest()
--- a/jacinthfold/log_writer.py
+++ b/jacinthfold/log_writer.py
@@ -1,4 +1,4 @@
-"""Write log lines without ever making the program wait."""
+"""Write log lines without blocking the program."""
 
 import os
 import queue
@@ -9,22 +9,22 @@
 if TYPE_CHECKING:
     from loguru import Message
 
-# Lines that may wait for the reader of the output; some 1 MB of memory.
+# Lines queued for the reader of the output, about 1 MB of memory.
 QUEUE_CAPACITY_LINES = 4096
-# Ordinary lines are left out once this many wait, so that a reader that
-# stands still costs ordinary lines before it costs warnings.
+# Ordinary lines are dropped once this many lines are queued, so that a stalled
+# reader loses ordinary lines before warnings.
 ORDINARY_CAPACITY_LINES = 3072
-# Ordinary lines a second, a few for each request of a busy host.
+# Maximum of ordinary lines a second; a busy host logs a few for each request.
 ORDINARY_LINES_PER_SECOND = 1500
 FLUSH_POLL_SECONDS = 0.005
 _WARNING_SEVERITY = 30
 
 
 class BoundedWriter:
-    """Pass lines to a thread that writes them, and count those left out."""
+    """Queue lines for a writer thread and count the dropped ones."""
 
     def __init__(self, descriptor: int) -> None:
-        """Take the file descriptor to write to."""
+        """Start the thread that writes to a file descriptor."""
         self._descriptor = descriptor
         self._lines: queue.Queue[bytes] = queue.Queue(QUEUE_CAPACITY_LINES)
         self._window_started_at = 0.0
@@ -36,7 +36,7 @@
         ).start()
 
     def queue_line(self, message: 'Message') -> None:
-        """Queue a line, or leave it out."""
+        """Queue a line, or drop it if a limit is exceeded."""
         is_warning = message.record['level'].no >= _WARNING_SEVERITY
         if not is_warning and not self._accepts_ordinary():
             self.dropped_count += 1
@@ -47,9 +47,9 @@
             self.dropped_count += 1
 
     def flush(self, timeout_seconds: float) -> None:
-        """Wait until all lines are written, at most for a time."""
-        # The thread ends with the process: the lines of the last moments,
-        # which say how it ended, would be lost.
+        """Wait until all lines are written or the timeout expires."""
+        # The daemon thread ends with the process. Without a flush the last
+        # lines, which show how the process ended, would be lost.
         deadline = time.monotonic() + timeout_seconds
         while self._lines.unfinished_tasks and time.monotonic() < deadline:
             time.sleep(FLUSH_POLL_SECONDS)
@@ -91,5 +91,5 @@
             except BlockingIOError:
                 time.sleep(0.05)
             except OSError:
-                # Nobody reads any more, and there is nowhere to say so.
+                # The reader is gone, so the error can't be logged either.
                 return
--- a/jacinthfold/logs.py
+++ b/jacinthfold/logs.py
@@ -1,4 +1,4 @@
-"""Write one line of key=value pairs for each event."""
+"""Log each event as one line of key=value pairs."""
 
 import json
 import sys
@@ -16,14 +16,14 @@
 
 
 def set_up(level: str, host_name: str) -> None:
-    """Log to standard error from a level upwards."""
+    """Log to standard error, at a level and above."""
     logger.remove()
     logger.configure(extra={'host': host_name})
     logger.add(sys.stderr, level=level, format=_format, enqueue=False)
 
 
 def set_up_non_blocking(level: str, host_name: str) -> None:
-    """Log to standard output; never wait for its reader."""
+    """Log to standard output without blocking on its reader."""
     logger.remove()
     logger.configure(extra={'host': host_name})
     writer = BoundedWriter(sys.stdout.fileno())
@@ -32,28 +32,28 @@
 
 
 def dropped_line_count() -> int:
-    """Return how many lines were left out since the start."""
+    """Return the number of lines dropped since the start."""
     return sum(writer.dropped_count for writer in _writers)
 
 
 def flush(timeout_seconds: float) -> None:
-    """Wait until all lines are written, at most for a time."""
+    """Wait until all lines are written or the timeout expires."""
     for writer in _writers:
         writer.flush(timeout_seconds)
 
 
 def event(name: str, **fields: Any) -> None:
-    """Log something that happened."""
+    """Log an event at level INFO."""
     logger.bind(**fields).info(name)
 
 
 def warning(name: str, **fields: Any) -> None:
-    """Log something that an operator may want to look at."""
+    """Log an event that may need an operator's attention."""
     logger.bind(**fields).warning(name)
 
 
 def error(name: str, **fields: Any) -> None:
-    """Log something that needs an operator."""
+    """Log an event that needs an operator's attention."""
     logger.bind(**fields).error(name)
 
 
@@ -68,7 +68,7 @@
         for name, value in record['extra'].items()
     )
     line = ' '.join(pairs)
-    # loguru formats what we return once more: braces must be doubled.
+    # loguru formats the returned string again, so braces must be doubled.
     escaped = line.replace('{', '{{').replace('}', '}}').replace('<', r'\<')
     return f'{escaped}\n'
 
--- a/jacinthfold/options.py
+++ b/jacinthfold/options.py
@@ -1,4 +1,4 @@
-"""Declare every setting: how it is read, what is allowed, its default."""
+"""Declare the settings: their parsers, allowed values and defaults."""
 
 import ipaddress
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class Option:
-    """Describe one setting: how to read it and what is allowed."""
+    """Describe one setting: its parser, allowed values and default."""
 
     __slots__ = ('allowed', 'default', 'help_text', 'read')
 
@@ -21,7 +21,7 @@
         help_text: str,
         default: str | None = None,
     ) -> None:
-        """Take the reader, what it allows, and the default if any."""
+        """Set the parser, the allowed values, and the default if any."""
         self.read = read
         self.allowed = allowed
         self.help_text = help_text
@@ -118,7 +118,7 @@
     return Option(decimal(low, high), allowed, help_text, default)
 
 
-# Every setting, in the order of docs/SETTINGS.md.
+# All settings, in the order of docs/SETTINGS.md.
 OPTIONS: dict[str, dict[str, Option]] = {
     'host': {
         'name': Option(
