--- a/tests/gateway/test_explain.py
+++ b/tests/gateway/test_explain.py
@@ -1,4 +1,4 @@
-"""From a request's identifier to its cause, by logs alone."""
+"""The `explain` command and the timeline of a request from logs."""
 
 import io
 
@@ -11,7 +11,7 @@
 
 
 def line(time, event, host='a', **fields):
-    """Return a line as a host writes it."""
+    """Return a log line in the format of a host."""
     pairs = ' '.join(f'{name}={held}' for name, held in fields.items())
     return (
         f'time={DAY}{time}+00:00 level=info event={event} host={host} {pairs}'
@@ -50,7 +50,7 @@
     assert main(['explain', 'r1', str(path)], env) is ExitStatus.SUCCESS
 
 
-def test_command_says_when_nothing_is_known():
+def test_command_reports_an_unknown_request():
     err = io.StringIO()
     env = Environment(stdin=io.StringIO(''), stdout=io.StringIO(), stderr=err)
     assert main(['explain', 'r9'], env) is ExitStatus.ERROR
--- a/tests/gateway/test_life.py
+++ b/tests/gateway/test_life.py
@@ -1,4 +1,4 @@
-"""Starting, stopping and being disturbed."""
+"""Start, stop and reload of a host, and failures around it."""
 
 import os
 import signal
@@ -19,8 +19,8 @@
 
 
 @pytest.fixture
-def desk(deployment):
-    """Give one target of a plain service and one engine behind a host."""
+def ready_deployment(deployment):
+    """Start a host with one plain service target and one engine."""
     deployment.put_routes(route('/order/'), route('/chat/', 'model', 'stream'))
     deployment.add_target('i-1', 'desk')
     deployment.add_target('i-2', 'model').script = standin.stream(3)
@@ -29,17 +29,21 @@
     return deployment
 
 
-def test_stop_cuts_nothing_that_is_in_flight(desk):
-    """SIGTERM comes while a stream of a second is on its way.
+def test_stop_cuts_nothing_that_is_in_flight(ready_deployment):
+    """Receive SIGTERM during a stream of one second.
 
-    The host says at once that it is not ready, the stream ends whole, its
-    connection is closed behind it, and the process ends with status 0.
+    The host reports at once that it is not ready, the stream completes, its
+    connection is closed, and the process exits with status 0.
     """
-    desk.targets['i-2'].script = standin.stream(10, pause_seconds=0.1)
-    host = desk.hosts['north-a']
+    ready_deployment.targets['i-2'].script = standin.stream(
+        10, pause_seconds=0.1
+    )
+    host = ready_deployment.hosts['north-a']
     connection = Connection(host.callers)
     connection.send('/chat/1', 'POST', body=b'p', request_id=new_id())
-    wait_until(lambda: desk.targets['i-2'].executed, 'the stream has begun')
+    wait_until(
+        lambda: ready_deployment.targets['i-2'].executed, 'the stream has begun'
+    )
     host.signal(signal.SIGTERM)
     wait_until(
         lambda: call(host.ready, '/api/readiness').status == 503,
@@ -53,23 +57,27 @@
     assert 'event=host_stopped' in host.log()
 
 
-def test_leaving_host_refuses_what_it_could_not_end(desk):
-    """A long stream is asked for late in the grace.
+def test_draining_host_rejects_what_it_cannot_complete(ready_deployment):
+    """Reject a long stream that is requested late in the grace period.
 
-    Taken, it would be cut by the end of the process; refused at once, the
-    caller has it served by another host.
+    If accepted, it would be cut off when the process exits. Rejected at once,
+    the caller can retry at another host.
     """
-    host = desk.hosts['north-a']
-    desk.targets['i-2'].script = standin.stream(35, pause_seconds=0.1)
+    host = ready_deployment.hosts['north-a']
+    ready_deployment.targets['i-2'].script = standin.stream(
+        35, pause_seconds=0.1
+    )
     in_flight = Connection(host.callers)
     in_flight.send('/chat/0', 'POST', body=b'p', request_id=new_id())
-    wait_until(lambda: desk.targets['i-2'].executed, 'the stream has begun')
-    desk.targets['i-2'].script = standin.stream(3)
+    wait_until(
+        lambda: ready_deployment.targets['i-2'].executed, 'the stream has begun'
+    )
+    ready_deployment.targets['i-2'].script = standin.stream(3)
     host.signal(signal.SIGTERM)
     statuses = set()
 
     def is_refused():
-        answer = desk.ask(
+        answer = ready_deployment.ask(
             'north-a',
             '/chat/1',
             'POST',
@@ -80,37 +88,42 @@
         return answer.status == 503
 
     wait_until(is_refused, 'a long stream is refused')
-    assert desk.ask('north-a', '/order/1', 'POST', seconds=1).status == 200
+    assert (
+        ready_deployment.ask('north-a', '/order/1', 'POST', seconds=1).status
+        == 200
+    )
     assert statuses <= {200, 503}
     assert in_flight.receive().is_whole
     in_flight.close()
 
 
-def test_reload_changes_nothing_that_is_in_flight(desk):
-    """SIGHUP, whose default action would end the process."""
-    host = desk.hosts['north-a']
+def test_reload_changes_nothing_that_is_in_flight(ready_deployment):
+    """Receive SIGHUP, whose default action would kill the process."""
+    host = ready_deployment.hosts['north-a']
     connection = Connection(host.callers)
-    desk.targets['i-2'].script = standin.stream(10, pause_seconds=0.05)
+    ready_deployment.targets['i-2'].script = standin.stream(
+        10, pause_seconds=0.05
+    )
     connection.send('/chat/1', 'POST', body=b'p', request_id=new_id())
     host.signal(signal.SIGHUP)
-    desk.wait_log('north-a', 'event=settings_reloaded')
+    ready_deployment.wait_log('north-a', 'event=settings_reloaded')
     assert connection.receive().is_whole
     connection.close()
 
 
-def test_faulty_settings_are_not_taken_over(desk):
-    host = desk.hosts['north-a']
+def test_faulty_settings_are_not_taken_over(ready_deployment):
+    host = ready_deployment.hosts['north-a']
     host.settings_path.write_text('[host]\nname = only\n')
     host.signal(signal.SIGHUP)
-    desk.wait_log('north-a', 'event=reload_failed')
-    assert desk.ask('north-a', '/order/1').status == 200
+    ready_deployment.wait_log('north-a', 'event=reload_failed')
+    assert ready_deployment.ask('north-a', '/order/1').status == 200
 
 
-def test_reader_of_logs_that_stands_still_stops_nothing(deployment):
-    """Nobody reads the standard output; its pipe fills up.
+def test_stalled_log_reader_does_not_block_a_host(deployment):
+    """Fill the pipe of the standard output, which nobody reads.
 
-    A host that waited for the reader would serve nothing any more. Lines are
-    left out instead, and the metrics say how many.
+    A host that waited for the reader would stop serving. Lines are dropped
+    instead, and counted in the metrics.
     """
     deployment.put_routes(route('/order/'))
     deployment.add_target('i-1', 'desk')
@@ -124,45 +137,49 @@
     assert host.process.poll() is None
 
 
-def test_connection_that_sends_nothing_holds_nothing(desk):
-    with socket.create_connection(desk.hosts['north-a'].callers):
-        assert desk.ask('north-a', '/order/1').status == 200
+def test_idle_connection_blocks_nothing(ready_deployment):
+    with socket.create_connection(ready_deployment.hosts['north-a'].callers):
+        assert ready_deployment.ask('north-a', '/order/1').status == 200
 
 
-def test_frozen_host_serves_again_when_it_wakes(desk):
-    host = desk.hosts['north-a']
+def test_frozen_host_serves_again_when_it_wakes(ready_deployment):
+    host = ready_deployment.hosts['north-a']
     host.signal(signal.SIGSTOP)
-    desk.put_routes(route('/order/'), route('/quote/'))
+    ready_deployment.put_routes(route('/order/'), route('/quote/'))
     host.signal(signal.SIGCONT)
-    wait_served(desk, 'north-a', '/quote/1')
+    wait_served(ready_deployment, 'north-a', '/quote/1')
 
 
-def test_killed_host_is_known_again_under_its_name(desk):
-    """A host is killed and started again before its lease has ended.
+def test_restarted_host_replaces_its_earlier_record(ready_deployment):
+    """Kill a host and start it again before its lease has expired.
 
-    Its record in the store is that of the earlier process; the later one
-    writes over it and is the one that others hear.
+    The store still holds the record of the earlier process. The new process
+    overwrites it, and other hosts receive its heartbeats.
     """
-    desk.start_host('north-b')
-    desk.wait_log('north-b', 'event=host_heard')
-    desk.hosts['north-a'].kill()
-    desk.hosts['north-a'].start()
-    desk.wait_ready('north-a')
+    ready_deployment.start_host('north-b')
+    ready_deployment.wait_log('north-b', 'event=host_heard')
+    ready_deployment.hosts['north-a'].kill()
+    ready_deployment.hosts['north-a'].start()
+    ready_deployment.wait_ready('north-a')
     wait_until(
-        lambda: desk.hosts['north-b'].log().count('event=host_heard') >= 2,
-        'north-b hears the later process',
+        lambda: (
+            ready_deployment.hosts['north-b'].log().count('event=host_heard')
+            >= 2
+        ),
+        'north-b receives heartbeats of the new process',
     )
-    wait_served(desk, 'north-a', '/order/1')
+    wait_served(ready_deployment, 'north-a', '/order/1')
 
 
-def test_lost_answers_of_the_store_don_t_unregister_a_host(desk):
-    """Writes are applied and their answers lost; the host tries again."""
-    desk.store.loses_answers = True
-    desk.make_host('north-b').start()
-    desk.wait_log('north-b', 'event=registration_failed')
-    desk.store.loses_answers = False
+def test_lost_store_responses_do_not_unregister_a_host(ready_deployment):
+    """Lose the responses to writes that the store applied; the host retries."""
+    ready_deployment.store.loses_answers = True
+    ready_deployment.make_host('north-b').start()
+    ready_deployment.wait_log('north-b', 'event=registration_failed')
+    ready_deployment.store.loses_answers = False
     wait_until(
-        lambda: 'hosts/north-b' in desk.store.items, 'north-b is registered'
+        lambda: 'hosts/north-b' in ready_deployment.store.items,
+        'north-b is registered',
     )
 
 
@@ -178,16 +195,16 @@
 
 @pytest.mark.parametrize('number', [signal.SIGHUP, signal.SIGTERM])
 def test_signal_during_start(deployment, number):
-    """The platform signals a host that is still loading its libraries.
+    """Signal a host that is still importing its libraries.
 
-    A reload's signal must not end it, and a stop must end it well: without
+    SIGHUP must not end it, and SIGTERM must end it with status 0. Without early
     handlers either one kills the process before its first log line.
     """
     deployment.put_routes(route('/order/'))
     host = deployment.make_host('north-a')
     host.start()
     maps = Path(f'/proc/{host.process.pid}/maps')
-    # A library that is loaded early: the signal meets the rest of the start.
+    # pycurl is loaded early, so the signal arrives during the remaining start.
     wait_until(lambda: 'pycurl' in maps.read_text(), 'libraries are loading')
     host.signal(number)
     if number == signal.SIGTERM:
@@ -196,14 +213,18 @@
         deployment.wait_ready('north-a')
 
 
-def test_leaving_host_does_not_register_again(desk):
-    """A host stops and ends its lease, then serves on for some seconds.
+def test_leaving_host_does_not_register_again(ready_deployment):
+    """Renew no lease that the host itself revoked at its stop.
 
-    Its next renewal finds no lease. Taken for one that lapsed, the host would
-    register anew, and its record would outlive its process.
+    The host keeps serving for some seconds, and its next renewal finds no
+    lease. If it took the lease for expired and registered again, its record
+    would outlive its process.
     """
-    host = desk.hosts['north-a']
-    wait_until(lambda: 'hosts/north-a' in desk.store.items, 'it is registered')
+    host = ready_deployment.hosts['north-a']
+    wait_until(
+        lambda: 'hosts/north-a' in ready_deployment.store.items,
+        'it is registered',
+    )
     host.signal(signal.SIGTERM)
     assert host.process.wait(30) == 0
-    assert 'hosts/north-a' not in desk.store.items
+    assert 'hosts/north-a' not in ready_deployment.store.items
--- a/tests/gateway/test_logs.py
+++ b/tests/gateway/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: written at last, left out when nobody reads."""
+"""Log lines are flushed at exit and dropped if the reader stalls."""
 
 import os
 
@@ -7,17 +7,17 @@
 
 
 class Message(str):
-    """Stand for a line of the logging library."""
+    """Stand in for a message of the logging library."""
 
     record = None
 
 
 def message(text, severity=20):
-    """Return a line of a severity."""
-    made = Message(f'{text}\n')
+    """Return a message of a severity."""
+    line = Message(f'{text}\n')
     level = type('Level', (), {'no': severity})()
-    made.record = {'level': level}
-    return made
+    line.record = {'level': level}
+    return line
 
 
 def test_last_lines_are_written_before_the_end():
@@ -29,11 +29,11 @@
     assert os.read(reader, 65536).endswith(b'line 499\n')
 
 
-def test_reader_that_stands_still_costs_lines_and_no_time():
-    """The pipe is full and nobody reads it.
+def test_stalled_reader_drops_lines_without_blocking():
+    """Drop lines while the pipe is full and nobody reads it.
 
-    Lines are left out above the limits, ordinary ones first; once somebody
-    reads, a line says how many were.
+    Lines above the limits are dropped, ordinary ones first. Once the pipe is
+    read again, a line reports the number of dropped lines.
     """
     reader, descriptor = os.pipe()
     os.set_blocking(descriptor, False)
@@ -54,4 +54,4 @@
         writer.queue_line(message('more'))
         return b'event=lines_left_out' in seen
 
-    wait_until(has_reported, 'the lines that were left out are told')
+    wait_until(has_reported, 'the dropped lines are reported')
--- a/tests/gateway/test_other_writers.py
+++ b/tests/gateway/test_other_writers.py
@@ -1,4 +1,4 @@
-"""Records of the store that another writer made, or spoiled."""
+"""Malformed records in the store, written by other programs."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 )
 
 NESTED = b'[' * 100000
-SPOILED = {
+MALFORMED_FIELDS = {
     'address is a number': {'address': 8},
     'address without port': {'address': '10.0.0.1'},
     'address with a name': {'address': 'store:80'},
@@ -44,8 +44,8 @@
     'start is null': {'born': None},
     'start is enormous': {'born': 10**30},
 }
-UNREADABLE = [
-    json.dumps(entry(**fields)).encode() for fields in SPOILED.values()
+UNREADABLE_CONTENTS = [
+    json.dumps(entry(**fields)).encode() for fields in MALFORMED_FIELDS.values()
 ] + [
     json.dumps(entry()).replace('"slots": 4', '"slots": 1e999').encode(),
     b'{"backend":"b","x":' + NESTED,
@@ -56,13 +56,15 @@
 ]
 
 
-@pytest.mark.parametrize('content', UNREADABLE, ids=range(len(UNREADABLE)))
-def test_spoiled_entry_names_no_target(content):
-    """Another writer puts an entry among the targets.
+@pytest.mark.parametrize(
+    'content', UNREADABLE_CONTENTS, ids=range(len(UNREADABLE_CONTENTS))
+)
+def test_malformed_record_adds_no_target(content):
+    """Skip a malformed record among those of the targets.
 
-    Taken for a target it would get requests that nothing answers; raised as
-    an error nobody expects it would end the task that follows the store, and
-    every later change would be missed.
+    Treated as a target, it would get requests that nothing answers. Raised as
+    an unexpected error, it would end the task that follows the store, and all
+    later changes would be missed.
     """
     made, notifications = catalogue()
     made.apply([Record('servers/x', 1, content), target('i', 2)], 2)
@@ -70,7 +72,7 @@
 
 
 @pytest.mark.parametrize('name', sorted(entry()))
-def test_entry_with_a_missing_field_names_no_target(name):
+def test_record_with_a_missing_field_adds_no_target(name):
     document = entry()
     document.pop(name)
     made, notifications = catalogue()
@@ -78,11 +80,11 @@
     assert not notifications
 
 
-def test_target_whose_entry_is_spoiled_is_used_no_more():
-    """A target's entry is overwritten with bytes that say nothing.
+def test_target_with_an_overwritten_record_is_removed():
+    """Stop using a target whose record is overwritten with invalid bytes.
 
-    The entry as it was before no longer holds. The target's own next entry
-    brings it back.
+    Its previous record is no longer valid. The next record that the target
+    writes itself restores it.
     """
     clock = FakeClock()
     made = Catalogue(PlatformReader(), decode_host, clock)
@@ -102,28 +104,28 @@
 def test_unreadable_configuration_leaves_the_one_in_force():
     made, notifications = catalogue()
     made.apply([configuration(7, 1)], 1)
-    spoiled = [
+    malformed = [
         b'{"version":8,"routes":7,"backends":[]}',
         b'{"version":8,"routes":[{"name":1}],"backends":[]}',
         b'{"version":8,"backends":[],"routes":[],"limits":7}',
         b'{"version":1e999,"backends":[],"routes":[]}',
         NESTED,
     ]
-    for number, content in enumerate(spoiled):
+    for number, content in enumerate(malformed):
         made.apply([Record('op/config', 2 + number, content)], 2 + number)
     assert notifications == [('routes', 7)]
     assert made.routes.version == 7
 
 
-def test_unreadable_host_record_names_no_host():
+def test_unreadable_host_record_adds_no_host():
     made, notifications = catalogue()
-    spoiled = [
+    malformed = [
         b'{"name":1}',
         b'{"name":"h","incarnation":"1","region":"n","data_centre":"n-1",'
         b'"address":"10.0.0.1","ports":[1,2,3]}',
         NESTED,
     ]
-    for number, content in enumerate(spoiled):
+    for number, content in enumerate(malformed):
         made.apply([Record('hosts/h', 1 + number, content)], 1 + number)
     assert ('host', 'h', True) not in notifications
 
@@ -147,7 +149,7 @@
 
 
 @given(st.lists(st.tuples(keys, st.integers(1, 40), values), max_size=12))
-def test_any_bytes_at_any_key_are_survived(items):
+def test_any_record_at_any_key_is_tolerated(items):
     made, notifications = catalogue()
     for key, revision, content in items:
         made.apply([Record(key, revision, content)], revision)
@@ -156,11 +158,11 @@
     assert made.revision == 50
 
 
-def test_duty_that_fails_runs_again():
-    """The task that follows the store meets an error that nobody foresaw.
+def test_failed_background_task_is_restarted():
+    """Restart the task that follows the store after an unexpected error.
 
-    Left dead, the host looks well and follows nothing; ended with its
-    process, it cuts every answer that is on its way.
+    If the task stayed dead, the host would look healthy but miss all changes.
+    If the process exited, all responses in flight would be cut off.
     """
 
     class FailingStore:
--- a/tests/gateway/test_translation.py
+++ b/tests/gateway/test_translation.py
@@ -1,4 +1,4 @@
-"""The platform's words, and bytes that are not what they should be."""
+"""Decoding of the platform's records and headers, also malformed ones."""
 
 import json
 import pathlib
@@ -27,7 +27,7 @@
 
 
 class Listener:
-    """Keep what a catalogue tells."""
+    """Record the notifications of a catalogue."""
 
     def __init__(self):
         self.notifications = []
@@ -68,7 +68,7 @@
 
 
 def entry(**fields):
-    """Return what a target writes of itself."""
+    """Return the fields of a target's record."""
     return {
         'backend': 'b',
         'address': '10.0.0.1:8',
@@ -92,7 +92,7 @@
     return Record('op/config', revision, json.dumps(document).encode())
 
 
-def test_kinds_of_requests_decide_what_may_be_repeated():
+def test_route_type_determines_the_retry_policy():
     kinds = {
         'plain': route('/a/'),
         'whole': route('/b/', kind='idempotent'),
@@ -217,7 +217,7 @@
 
 
 @given(st.integers(1, 40), st.lists(st.integers(1, 30), max_size=40))
-def test_events_survive_any_cut_of_the_bytes(total, sizes):
+def test_events_stay_whole_for_any_chunking(total, sizes):
     wire = b''.join(b'id: %d\ndata: x\n\n' % n for n in range(1, total + 1))
     splitter = EventSplitter()
     passed, rest = b'', wire
@@ -332,7 +332,7 @@
 
 
 @given(LIMITS)
-def test_any_limit_is_read_or_shown(contents):
+def test_any_limit_is_parsed_or_reported(contents):
     headers = [(b'server-limit', content) for content in contents]
     facts = PlatformDialect().read_answer(200, headers)
     assert facts.limit_per_second is not None or (
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""Run the program's commands in this process."""
+"""Commands of the program, run in this process."""
 
 import io
 import json
@@ -15,7 +15,7 @@
 
 
 class Run:
-    """Hold how a command ended and what it printed."""
+    """Run a command and hold its exit status and output."""
 
     def __init__(self, *args):
         out, errors = io.StringIO(), io.StringIO()
@@ -45,7 +45,7 @@
     assert (run.status, run.errors) == (ExitStatus.SUCCESS, '')
 
 
-def test_every_fault_of_the_settings_is_told_at_once(tmp_path):
+def test_all_setting_faults_are_reported_together(tmp_path):
     path = tmp_path / 'bad.ini'
     text = fakes.SETTINGS_TEXT.format(name='x').replace('caller_port = 1', '')
     text += '[callers]\nmax_requests = many\ncolour = red\n[planets]\nx = 1\n'
@@ -148,6 +148,6 @@
             for one in process.log().splitlines()
         )
 
-    # The line is written after the caller has its answer.
+    # The line is logged after the caller has received the response.
     wait_until(is_logged, 'the attempt is logged')
     assert all(one.startswith('time=') for one in process.log().splitlines())
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Change the configuration under failure: nothing is lost or reverts."""
+"""Configuration changes under failures are neither lost nor reverted."""
 
 import threading
 import time
@@ -56,7 +56,7 @@
     assert any('rule broken: bound is left with no' in line for line in effects)
 
 
-def test_every_fault_of_the_intents_is_told_at_once(shared_fleet):
+def test_all_intent_faults_are_reported_together(shared_fleet):
     intents = [
         {'kind': 'target', 'name': 'x', 'state': 'gone', 'color': 'red'},
         {'kind': 'planet', 'name': 'x'},
@@ -87,7 +87,7 @@
         organisation('thief', 'erie', ['erie'], key_hashes=['a', 'a']),
     ],
 )
-def test_intent_that_contradicts_what_stands_gets_no_plan(shared_fleet, intent):
+def test_conflicting_intent_gets_no_plan(shared_fleet, intent):
     answer = shared_fleet.control(
         'erie-a', 'POST', '/plans', {'intents': [intent]}
     )
@@ -95,10 +95,11 @@
 
 
 def test_two_operators_confirm_at_once_and_one_wins(own_fleet):
-    """Two operators confirm plans for one organisation at the same moment.
+    """Confirm two plans for one organisation at the same time.
 
-    Both plans stand on the same revision. The store's compare-and-swap lets
-    one through; the other operator is told what has changed, at any host.
+    Both plans are based on the same revision. The store's compare-and-swap
+    accepts one; the other operator gets an error that names what has changed,
+    from any host.
     """
     for round_number in range(8):
         base = max(revisions(own_fleet).values())
@@ -129,7 +130,7 @@
         assert max(revisions(own_fleet).values()) == base + 1
 
 
-def test_plans_that_touch_different_things_both_stand(own_fleet):
+def test_plans_without_conflict_both_take_effect(own_fleet):
     plans = [
         plan(own_fleet, 'erie-a', [limit_intent(50)]),
         plan(own_fleet, 'erie-b', [{'kind': 'model', 'name': 'extra'}]),
@@ -139,10 +140,10 @@
 
 
 def test_confirmation_whose_answer_is_lost_takes_effect_once(own_fleet):
-    """The store applies the confirmation and its answer is lost.
+    """Lose the store's response to a confirmation that it applied.
 
-    The host reads the head back, finds the plan's own identifier and answers
-    with its revision; confirming again, at any host, gives the same one.
+    The host reads the head again, finds the identifier of the plan and responds
+    with its revision. Confirming again at any host gives the same revision.
     """
     plan_id = plan(own_fleet, 'erie-a', [limit_intent(70)])
     own_fleet.set_faults('platform', lose_answers=1)
@@ -168,10 +169,10 @@
 def test_host_replaced_in_an_outage_gets_its_neighbours_configuration(
     own_fleet,
 ):
-    """An entry host is replaced while the platform is out.
+    """Replace an entry host during an outage of the platform.
 
-    The new process has no configuration. Its neighbours do: it takes the
-    highest revision that any of them holds and serves under that.
+    The new process has no configuration. It takes the highest revision that any
+    of its peers holds.
     """
     revision = own_fleet.change('huron-a', [limit_intent(1000)])
     own_fleet.wait_revision(revision)
@@ -189,7 +190,8 @@
         own_fleet.processes[name].kill()
     own_fleet.restart_host('erie-a')
     url = own_fleet.control_url('erie-a')
-    # The log goes on from the first start, which may have found no platform.
+    # The log also holds lines of the first start, which may have found no
+    # platform either.
     restarted = own_fleet.processes['erie-a']
     wait_until(
         lambda: 'no_configuration_yet' in restarted.log_since_start(),
@@ -206,10 +208,10 @@
 
 
 def test_store_that_lost_everything_reverts_nothing(own_fleet):
-    """The platform's store comes back empty, at revision 0.
+    """Restart the platform's store empty, at revision 0.
 
-    Hosts keep what they applied, say that the store is behind, and a host
-    replaced afterwards takes its neighbours' revision, not the store's.
+    Hosts keep the configuration in force and log that the store is behind. A
+    host replaced afterwards takes the revision of its peers, not the store's.
     """
     revision = own_fleet.change('erie-a', [limit_intent(1000)])
     own_fleet.wait_revision(revision)
@@ -233,10 +235,10 @@
 
 
 def test_frozen_host_serves_nothing_under_withdrawn_rules(own_fleet):
-    """An organisation is withdrawn while an entry host is frozen.
+    """Remove an organisation while an entry host is frozen.
 
-    Its request waits in the frozen host's socket. On thawing the host
-    notices its pause and refuses until it has met its peers again.
+    Its request waits in the socket of the frozen host. When resumed, the host
+    detects the pause and rejects requests until it has contact with its peers.
     """
     before = sum(len(own_fleet.executions(f'review-{n}')) for n in (1, 2, 3))
     frozen = own_fleet.processes['erie-b']
@@ -251,7 +253,7 @@
         target=lambda: answers.append(chat(own_fleet, 'erie-b', 'bound'))
     )
     thread.start()
-    time.sleep(3)  # longer than the pause that a host takes for none
+    time.sleep(3)  # longer than a pause that a host tolerates
     frozen.thaw()
     thread.join()
     assert answers[0].status in {401, 421, 503}
@@ -261,10 +263,10 @@
 
 
 def test_head_is_compacted_and_history_stays_whole(own_fleet):
-    """More changes than the head holds: snapshot and history take over.
+    """Make more changes than the head holds.
 
-    A host that starts afterwards, alone, reads the snapshot and the changes
-    above it from the store.
+    A host that starts alone afterwards reads the snapshot and the later changes
+    from the store.
     """
     for number in range(70):
         own_fleet.change('erie-a', [limit_intent(1000 + number)])
@@ -279,9 +281,9 @@
 
 
 def test_limit_holds_across_entry_hosts(own_fleet):
-    """Ten times the limit, sent to all hosts, is not let through.
+    """Send ten times the limit to all hosts.
 
-    Each host grants its own part of the limit; the parts sum to the whole.
+    Each host grants its share of the limit; the shares add up to the limit.
     """
     revision = own_fleet.change('erie-a', [limit_intent(10)])
     own_fleet.wait_revision(revision)
@@ -311,7 +313,7 @@
     assert statuses.count(429) == len(statuses) - statuses.count(200)
 
 
-def test_order_is_refused_unrun_when_the_store_is_out(own_fleet):
+def test_order_is_rejected_without_running_in_a_store_outage(own_fleet):
     own_fleet.set_faults('platform', out=1)
     answer = order(own_fleet, 'erie-a', 'my-own')
     assert answer.status == 503
@@ -319,8 +321,8 @@
     assert own_fleet.executions('desk-1') == []
 
 
-def test_empty_directory_is_never_given(tmp_path):
-    """A host that has joined names at least itself."""
+def test_directory_is_never_empty(tmp_path):
+    """Query a host that is alone: it names at least itself."""
     with Fleet(tmp_path) as fleet:
         fleet.start_platform()
         fleet.start_host('only', 'erie', 'erie-1')
--- a/tools/ablations/gateway.py
+++ b/tools/ablations/gateway.py
@@ -74,7 +74,7 @@
             ),
         ],
         GATEWAY
-        + 'test_life.py::test_leaving_host_refuses_what_it_could_not_end',
+        + 'test_life.py::test_draining_host_rejects_what_it_cannot_complete',
     ),
     Ablation(
         'gateway: hosts take over from watchers that lose the store',
