--- a/jacinthfold/gateway/cluster_view.py
+++ b/jacinthfold/gateway/cluster_view.py
@@ -33,8 +33,8 @@
 
 HOUSEKEEPING_SECONDS = 0.1
 # Interval for updating the hosts that share warm-up pacing and retry budgets.
-# Iterating over 195 hosts in every housekeeping run took 31 of the 650 ms of
-# CPU time of an idle host.
+# Iterating over 195 hosts in every housekeeping run took 31 of the 650 ms that
+# an idle host was busy.
 HOSTS_REFRESH_SECONDS = 0.4
 # Interval for logging the latency models learned from engines.
 LATENCY_MODELS_LOG_SECONDS = 10.0
--- a/tests/gateway/test_knowledge.py
+++ b/tests/gateway/test_knowledge.py
@@ -253,9 +253,9 @@
     deployment.start_host('south-a', 'south-1')
     north, south = (deployment.hosts[n] for n in ('north-a', 'south-a'))
 
-    def resolve(region, data_centre, asked=north):
+    def resolve(region, data_centre, queried_host=north):
         query = f'name=api.example&region={region}&zone={data_centre}'
-        answer = call(asked.directory, f'/api/resolve?{query}')
+        answer = call(queried_host.directory, f'/api/resolve?{query}')
         if answer.status != 200:
             return []
         return json.loads(answer.body)['addresses']
--- a/tests/gateway/test_life.py
+++ b/tests/gateway/test_life.py
@@ -76,7 +76,7 @@
     host.signal(signal.SIGTERM)
     statuses = set()
 
-    def is_refused():
+    def is_rejected():
         answer = ready_deployment.ask(
             'north-a',
             '/chat/1',
@@ -87,7 +87,7 @@
         statuses.add(answer.status)
         return answer.status == 503
 
-    wait_until(is_refused, 'a long stream is refused')
+    wait_until(is_rejected, 'a long stream is refused')
     assert (
         ready_deployment.ask('north-a', '/order/1', 'POST', seconds=1).status
         == 200
--- a/tests/gateway/test_other_writers.py
+++ b/tests/gateway/test_other_writers.py
@@ -66,8 +66,8 @@
     an unexpected error, it would end the task that follows the store, and all
     later changes would be missed.
     """
-    made, notifications = catalogue()
-    made.apply([Record('servers/x', 1, content), target('i', 2)], 2)
+    records, notifications = catalogue()
+    records.apply([Record('servers/x', 1, content), target('i', 2)], 2)
     assert notifications == [('target', 'i')]
 
 
@@ -75,8 +75,8 @@
 def test_record_with_a_missing_field_adds_no_target(name):
     document = entry()
     document.pop(name)
-    made, notifications = catalogue()
-    made.apply([Record('servers/x', 1, json.dumps(document).encode())], 1)
+    records, notifications = catalogue()
+    records.apply([Record('servers/x', 1, json.dumps(document).encode())], 1)
     assert not notifications
 
 
@@ -87,23 +87,23 @@
     writes itself restores it.
     """
     clock = FakeClock()
-    made = Catalogue(PlatformReader(), decode_host, clock)
+    records = Catalogue(PlatformReader(), decode_host, clock)
     targets = TargetTable({'z': 'north'}, clock)
     listener = Listener()
     listener.on_target = targets.put
     listener.on_target_removed = targets.remove
-    made.subscribe(listener)
-    made.apply([target('i', 1)], 1)
-    made.apply([Record('servers/i', 2, b'spoiled')], 2)
+    records.subscribe(listener)
+    records.apply([target('i', 1)], 1)
+    records.apply([Record('servers/i', 2, b'spoiled')], 2)
     assert targets.find('i').last_resort_until is not None
-    made.apply([target('i', 3, seq=2)], 3)
+    records.apply([target('i', 3, seq=2)], 3)
     assert targets.find('i').last_resort_until is None
     assert not targets.find('i').is_removed
 
 
 def test_unreadable_configuration_leaves_the_one_in_force():
-    made, notifications = catalogue()
-    made.apply([configuration(7, 1)], 1)
+    records, notifications = catalogue()
+    records.apply([configuration(7, 1)], 1)
     malformed = [
         b'{"version":8,"routes":7,"backends":[]}',
         b'{"version":8,"routes":[{"name":1}],"backends":[]}',
@@ -112,13 +112,13 @@
         NESTED,
     ]
     for number, content in enumerate(malformed):
-        made.apply([Record('op/config', 2 + number, content)], 2 + number)
+        records.apply([Record('op/config', 2 + number, content)], 2 + number)
     assert notifications == [('routes', 7)]
-    assert made.routes.version == 7
+    assert records.routes.version == 7
 
 
 def test_unreadable_host_record_adds_no_host():
-    made, notifications = catalogue()
+    records, notifications = catalogue()
     malformed = [
         b'{"name":1}',
         b'{"name":"h","incarnation":"1","region":"n","data_centre":"n-1",'
@@ -126,7 +126,7 @@
         NESTED,
     ]
     for number, content in enumerate(malformed):
-        made.apply([Record('hosts/h', 1 + number, content)], 1 + number)
+        records.apply([Record('hosts/h', 1 + number, content)], 1 + number)
     assert ('host', 'h', True) not in notifications
 
 
@@ -140,7 +140,7 @@
         st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
         lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
         max_leaves=8,
-    ).map(lambda made: json.dumps(made).encode()),
+    ).map(lambda document: json.dumps(document).encode()),
     st.dictionaries(
         st.sampled_from([*entry(), 'born', 'remaining-ms']),
         st.none() | st.integers() | st.floats() | st.text(max_size=9),
@@ -150,12 +150,12 @@
 
 @given(st.lists(st.tuples(keys, st.integers(1, 40), values), max_size=12))
 def test_any_record_at_any_key_is_tolerated(items):
-    made, notifications = catalogue()
+    records, notifications = catalogue()
     for key, revision, content in items:
-        made.apply([Record(key, revision, content)], revision)
-    made.apply([target('sound', 50)], 50)
+        records.apply([Record(key, revision, content)], revision)
+    records.apply([target('sound', 50)], 50)
     assert notifications[-1] == ('target', 'sound')
-    assert made.revision == 50
+    assert records.revision == 50
 
 
 def test_failed_background_task_is_restarted():
@@ -179,8 +179,8 @@
             await asyncio.Event().wait()
 
     async def follow():
-        made, notifications = catalogue()
-        follower = Follower(FailingStore(), made, FakeClock())
+        records, notifications = catalogue()
+        follower = Follower(FailingStore(), records, FakeClock())
         task = asyncio.get_running_loop().create_task(supervised(follower.run))
         while not notifications:
             await asyncio.sleep(0.01)
--- a/tests/gateway/test_translation.py
+++ b/tests/gateway/test_translation.py
@@ -55,10 +55,10 @@
 
 
 def catalogue(clock=None):
-    made = Catalogue(PlatformReader(), decode_host, clock or FakeClock())
+    records = Catalogue(PlatformReader(), decode_host, clock or FakeClock())
     listener = Listener()
-    made.subscribe(listener)
-    return made, listener.notifications
+    records.subscribe(listener)
+    return records, listener.notifications
 
 
 def target(instance, revision, **fields):
@@ -122,45 +122,45 @@
     entry.pop('backend')
     entry['weighted-backends'] = split
     document = {'version': 1, 'routes': [entry], 'backends': []}
-    made = PlatformReader().read_routes(json.dumps(document).encode())
-    chosen = [made.routes[0].service_for(f'id-{n}') for n in range(2000)]
-    again = [made.routes[0].service_for(f'id-{n}') for n in range(2000)]
+    table = PlatformReader().read_routes(json.dumps(document).encode())
+    chosen = [table.routes[0].service_for(f'id-{n}') for n in range(2000)]
+    again = [table.routes[0].service_for(f'id-{n}') for n in range(2000)]
     assert chosen == again
     assert 0.07 < chosen.count('b') / 2000 < 0.13
 
 
 def test_late_change_does_not_undo_a_newer_one():
-    made, notifications = catalogue()
-    made.apply([target('i', 5)], 5)
-    made.apply([target('i', 3, state='draining')], 3)
+    records, notifications = catalogue()
+    records.apply([target('i', 5)], 5)
+    records.apply([target('i', 3, state='draining')], 3)
     assert notifications == [('target', 'i')]
-    assert made.revision == 5
+    assert records.revision == 5
 
 
 def test_list_removes_missing_targets():
-    made, notifications = catalogue()
-    made.apply([target('i', 2), target('k', 3)], 3)
-    made.replace([target('k', 3)], 9)
+    records, notifications = catalogue()
+    records.apply([target('i', 2), target('k', 3)], 3)
+    records.replace([target('k', 3)], 9)
     assert notifications[-1] == ('removed', 'i')
 
 
 def test_list_that_is_older_than_what_is_known_is_ignored():
-    made, notifications = catalogue()
-    made.apply([target('i', 8)], 8)
-    made.replace([], 5)
+    records, notifications = catalogue()
+    records.apply([target('i', 8)], 8)
+    records.replace([], 5)
     assert notifications == [('target', 'i')]
 
 
 def test_older_version_at_a_later_revision_is_ignored():
-    made, notifications = catalogue()
-    made.apply([configuration(7, 1)], 1)
-    made.apply([configuration(4, 2)], 2)
+    records, notifications = catalogue()
+    records.apply([configuration(7, 1)], 1)
+    records.apply([configuration(4, 2)], 2)
     assert notifications == [('routes', 7)]
 
 
 def test_unreadable_record_does_not_stop_the_others():
-    made, notifications = catalogue()
-    made.apply([Record('servers/x', 1, b'{not json'), target('i', 2)], 2)
+    records, notifications = catalogue()
+    records.apply([Record('servers/x', 1, b'{not json'), target('i', 2)], 2)
     assert notifications == [('target', 'i')]
 
 
@@ -194,14 +194,14 @@
     dialect = PlatformDialect()
     headers = [(b'Host', b'a'), (b'Request-Deadline', b'9000'), (b'X', b'y')]
     request = Request(b'GET', b'/', headers, b'', dialect.read_request(headers))
-    made = dict(
+    sent_headers = dict(
         dialect.target_headers(
             request, instance='i-1', left_seconds=1.234, last_event_id=''
         )
     )
-    assert made[b'Request-Deadline'] == b'1234'
-    assert made[b'Target-Instance'] == b'i-1'
-    assert made[b'X'] == b'y'
+    assert sent_headers[b'Request-Deadline'] == b'1234'
+    assert sent_headers[b'Target-Instance'] == b'i-1'
+    assert sent_headers[b'X'] == b'y'
 
 
 def test_headers_about_the_connection_are_not_passed_on():
@@ -243,7 +243,7 @@
 def heartbeats(name, clock):
     own = HostRecord(name, 7, ('north', 'n-1'), '127.0.0.1', (1, 2, 3))
     hosts = HostTable(own, clock)
-    made = Heartbeats(
+    sender = Heartbeats(
         hosts,
         Catalogue(PlatformReader(), decode_host, clock),
         TargetTable({}, clock),
@@ -251,13 +251,13 @@
         None,
         clock,
     )
-    return made, hosts
+    return sender, hosts
 
 
 @given(st.binary(max_size=200))
-def test_any_datagram_is_survived(content):
-    made, hosts = heartbeats('a', FakeClock())
-    made.datagram_received(content, ('127.0.0.1', 1))
+def test_any_datagram_is_tolerated(content):
+    receiver, hosts = heartbeats('a', FakeClock())
+    receiver.datagram_received(content, ('127.0.0.1', 1))
     assert not hosts.others()
 
 
