--- a/tests/gateway/test_explain.py
+++ b/tests/gateway/test_explain.py
@@ -1,4 +1,4 @@
-"""From a request's identifier to its cause, by logs alone."""
+"""The `explain` command and the timeline of a request from logs."""
 
 import io
 
@@ -11,7 +11,7 @@
 
 
 def line(time, event, host='a', **fields):
-    """Return a line as a host writes it."""
+    """Return a log line in the format of a host."""
     pairs = ' '.join(f'{name}={held}' for name, held in fields.items())
     return (
         f'time={DAY}{time}+00:00 level=info event={event} host={host} {pairs}'
--- a/tests/gateway/test_life.py
+++ b/tests/gateway/test_life.py
@@ -1,4 +1,4 @@
-"""Starting, stopping and being disturbed."""
+"""Start, stop and reload of a host, and failures around it."""
 
 import os
 import signal
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def ready_deployment(deployment):
-    """Give one target of a plain service and one engine behind a host."""
+    """Start a host with one plain service target and one engine."""
     deployment.put_routes(route('/order/'), route('/chat/', 'model', 'stream'))
     deployment.add_target('i-1', 'desk')
     deployment.add_target('i-2', 'model').script = standin.stream(3)
@@ -30,10 +30,10 @@
 
 
 def test_stop_cuts_nothing_that_is_in_flight(ready_deployment):
-    """SIGTERM comes while a stream of a second is on its way.
+    """Receive SIGTERM during a stream of one second.
 
-    The host says at once that it is not ready, the stream ends whole, its
-    connection is closed behind it, and the process ends with status 0.
+    The host reports at once that it is not ready, the stream completes, its
+    connection is closed, and the process exits with status 0.
     """
     ready_deployment.targets['i-2'].script = standin.stream(
         10, pause_seconds=0.1
@@ -58,10 +58,10 @@
 
 
 def test_draining_host_rejects_what_it_cannot_complete(ready_deployment):
-    """A long stream is asked for late in the grace.
+    """Reject a long stream that is requested late in the grace period.
 
-    Taken, it would be cut by the end of the process; refused at once, the
-    caller has it served by another host.
+    If accepted, it would be cut off when the process exits. Rejected at once,
+    the caller can retry at another host.
     """
     host = ready_deployment.hosts['north-a']
     ready_deployment.targets['i-2'].script = standin.stream(
@@ -98,7 +98,7 @@
 
 
 def test_reload_changes_nothing_that_is_in_flight(ready_deployment):
-    """SIGHUP, whose default action would end the process."""
+    """Receive SIGHUP, whose default action would kill the process."""
     host = ready_deployment.hosts['north-a']
     connection = Connection(host.callers)
     ready_deployment.targets['i-2'].script = standin.stream(
@@ -120,10 +120,10 @@
 
 
 def test_stalled_log_reader_does_not_block_a_host(deployment):
-    """Nobody reads the standard output; its pipe fills up.
+    """Fill the pipe of the standard output, which nobody reads.
 
-    A host that waited for the reader would serve nothing any more. Lines are
-    left out instead, and the metrics say how many.
+    A host that waited for the reader would stop serving. Lines are dropped
+    instead, and counted in the metrics.
     """
     deployment.put_routes(route('/order/'))
     deployment.add_target('i-1', 'desk')
@@ -151,10 +151,10 @@
 
 
 def test_restarted_host_replaces_its_earlier_record(ready_deployment):
-    """A host is killed and started again before its lease has ended.
+    """Kill a host and start it again before its lease has expired.
 
-    Its record in the store is that of the earlier process; the later one
-    writes over it and is the one that others hear.
+    The store still holds the record of the earlier process. The new process
+    overwrites it, and other hosts receive its heartbeats.
     """
     ready_deployment.start_host('north-b')
     ready_deployment.wait_log('north-b', 'event=host_heard')
@@ -166,13 +166,13 @@
             ready_deployment.hosts['north-b'].log().count('event=host_heard')
             >= 2
         ),
-        'north-b hears the later process',
+        'north-b receives heartbeats of the new process',
     )
     wait_served(ready_deployment, 'north-a', '/order/1')
 
 
 def test_lost_store_responses_do_not_unregister_a_host(ready_deployment):
-    """Writes are applied and their answers lost; the host tries again."""
+    """Lose the responses to writes that the store applied; the host retries."""
     ready_deployment.store.loses_answers = True
     ready_deployment.make_host('north-b').start()
     ready_deployment.wait_log('north-b', 'event=registration_failed')
@@ -195,16 +195,16 @@
 
 @pytest.mark.parametrize('number', [signal.SIGHUP, signal.SIGTERM])
 def test_signal_during_start(deployment, number):
-    """The platform signals a host that is still loading its libraries.
+    """Signal a host that is still importing its libraries.
 
-    A reload's signal must not end it, and a stop must end it well: without
+    SIGHUP must not end it, and SIGTERM must end it with status 0. Without early
     handlers either one kills the process before its first log line.
     """
     deployment.put_routes(route('/order/'))
     host = deployment.make_host('north-a')
     host.start()
     maps = Path(f'/proc/{host.process.pid}/maps')
-    # A library that is loaded early: the signal meets the rest of the start.
+    # pycurl is loaded early, so the signal arrives during the remaining start.
     wait_until(lambda: 'pycurl' in maps.read_text(), 'libraries are loading')
     host.signal(number)
     if number == signal.SIGTERM:
@@ -214,10 +214,11 @@
 
 
 def test_leaving_host_does_not_register_again(ready_deployment):
-    """A host stops and ends its lease, then serves on for some seconds.
+    """Renew no lease that the host itself revoked at its stop.
 
-    Its next renewal finds no lease. Taken for one that lapsed, the host would
-    register anew, and its record would outlive its process.
+    The host keeps serving for some seconds, and its next renewal finds no
+    lease. If it took the lease for expired and registered again, its record
+    would outlive its process.
     """
     host = ready_deployment.hosts['north-a']
     wait_until(
--- a/tests/gateway/test_logs.py
+++ b/tests/gateway/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: written at last, left out when nobody reads."""
+"""Log lines are flushed at exit and dropped if the reader stalls."""
 
 import os
 
@@ -7,13 +7,13 @@
 
 
 class Message(str):
-    """Stand for a line of the logging library."""
+    """Stand in for a message of the logging library."""
 
     record = None
 
 
 def message(text, severity=20):
-    """Return a line of a severity."""
+    """Return a message of a severity."""
     line = Message(f'{text}\n')
     level = type('Level', (), {'no': severity})()
     line.record = {'level': level}
@@ -30,10 +30,10 @@
 
 
 def test_stalled_reader_drops_lines_without_blocking():
-    """The pipe is full and nobody reads it.
+    """Drop lines while the pipe is full and nobody reads it.
 
-    Lines are left out above the limits, ordinary ones first; once somebody
-    reads, a line says how many were.
+    Lines above the limits are dropped, ordinary ones first. Once the pipe is
+    read again, a line reports the number of dropped lines.
     """
     reader, descriptor = os.pipe()
     os.set_blocking(descriptor, False)
@@ -54,4 +54,4 @@
         writer.queue_line(message('more'))
         return b'event=lines_left_out' in seen
 
-    wait_until(has_reported, 'the lines that were left out are told')
+    wait_until(has_reported, 'the dropped lines are reported')
--- a/tests/gateway/test_translation.py
+++ b/tests/gateway/test_translation.py
@@ -1,4 +1,4 @@
-"""The platform's words, and bytes that are not what they should be."""
+"""Decoding of the platform's records and headers, also malformed ones."""
 
 import json
 import pathlib
@@ -27,7 +27,7 @@
 
 
 class Listener:
-    """Keep what a catalogue tells."""
+    """Record the notifications of a catalogue."""
 
     def __init__(self):
         self.notifications = []
@@ -68,7 +68,7 @@
 
 
 def entry(**fields):
-    """Return what a target writes of itself."""
+    """Return the fields of a target's record."""
     return {
         'backend': 'b',
         'address': '10.0.0.1:8',
