--- a/tests/gateway/test_knowledge.py
+++ b/tests/gateway/test_knowledge.py
@@ -1,4 +1,4 @@
-"""What a host believes, and what it does while its sources are away."""
+"""A host's view of the cluster, also while its sources are unavailable."""
 
 import json
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def ready_deployment(deployment):
-    """Give two targets of a plain service behind one host."""
+    """Start a host with two targets of a plain service."""
     deployment.put_routes(route('/order/'))
     deployment.add_target('i-1', 'desk')
     deployment.add_target('i-2', 'desk')
@@ -21,17 +21,17 @@
 
 
 def bodies(deployment, count=6, path='/order/1'):
-    """Return the bodies of several answers."""
+    """Return the distinct bodies of several responses."""
     return {deployment.ask('north-a', path).body for _ in range(count)}
 
 
 def state(deployment, name):
-    """Return what a host believes."""
+    """Return the state dump of a host."""
     return json.loads(call(deployment.hosts[name].control, '/state').body)
 
 
 def wait_targets(deployment, name, count):
-    """Wait until a host knows a number of targets that stay."""
+    """Wait until a host knows a number of targets that aren't leaving."""
     wait_until(
         lambda: (
             sum(
@@ -45,10 +45,10 @@
 
 
 def test_host_without_routes_says_that_it_is_not_ready(deployment):
-    """A caller arrives before the operator has written anything.
+    """Send a request before the operator has written a configuration.
 
-    The host can't know whether the path will exist: 503 with a time to come
-    back, never 404, which callers take as final.
+    The host can't know whether the path will exist, so it responds with 503 and
+    Retry-After, and never with 404, which callers treat as final.
     """
     host = deployment.make_host('north-a')
     host.start()
@@ -83,9 +83,9 @@
 
 
 def test_older_configuration_version_is_not_applied(ready_deployment):
-    """A store's answer with an older configuration arrives late.
+    """Ignore an older configuration version that arrives late.
 
-    Applied, it would undo routes that callers have already used.
+    Applied, it would remove routes that callers have already used.
     """
     ready_deployment.put_routes(route('/order/'), route('/quote/'))
     wait_served(ready_deployment, 'north-a', '/quote/1')
@@ -111,17 +111,17 @@
 
 
 def test_removed_target_gets_no_requests(ready_deployment):
-    """A target's record vanishes while the target still answers."""
+    """Delete the record of a target that still responds."""
     ready_deployment.store.remove('servers/i-1')
     wait_targets(ready_deployment, 'north-a', 1)
     assert bodies(ready_deployment) == {b'from i-2'}
 
 
 def test_last_targets_are_used_briefly_and_then_dropped(ready_deployment):
-    """All records lapse at once, as after an outage of the store.
+    """Expire all target records at once, as after an outage of the store.
 
-    Living targets write theirs again within two seconds, so a host goes on
-    with them that long; what is missing then is gone.
+    Running targets write their records again within two seconds, so a host uses
+    them for that long and then drops those without a record.
     """
     for name in ('i-1', 'i-2'):
         ready_deployment.store.remove(f'servers/{name}')
@@ -129,7 +129,7 @@
     assert ready_deployment.ask('north-a', '/order/1').status == 200
     wait_until(
         lambda: ready_deployment.ask('north-a', '/order/1').status == 503,
-        'the targets are given up',
+        'the targets are dropped',
     )
     ready_deployment.put_target('i-1', 'desk')
     wait_until(
@@ -153,7 +153,7 @@
 
 
 def test_store_outage_does_not_stop_requests(ready_deployment):
-    """The store goes silent; requests are served by what is known."""
+    """Serve requests from the last known state in a store outage."""
     ready_deployment.store.is_down = True
     ready_deployment.wait_log('north-a', 'event=store_lost')
     assert ready_deployment.ask('north-a', '/order/1').status == 200
@@ -164,10 +164,10 @@
 
 
 def test_lost_history_is_replaced_by_a_full_list(ready_deployment):
-    """Changes are made while a host hears nothing, then the history goes.
+    """Change and compact the store while a host can't reach it.
 
-    A target that left in the gap has no event: only comparing the list shows
-    that it is missing.
+    There is no event for a target that left in between. Only a comparison with
+    the full list shows that it is missing.
     """
     ready_deployment.store.is_down = True
     ready_deployment.wait_log('north-a', 'event=store_lost')
@@ -183,10 +183,10 @@
 def test_new_host_takes_a_snapshot_from_a_seed_in_a_store_outage(
     ready_deployment,
 ):
-    """A host is replaced during an outage of the store.
+    """Replace a host during an outage of the store.
 
-    It knows nothing; the control address in its settings belongs to a host
-    that does, and gives it routes and targets.
+    The new host has no state. It fetches routes and targets from the host whose
+    control address is in its settings.
     """
     ready_deployment.store.is_down = True
     seed = ':'.join(
@@ -200,11 +200,11 @@
 def test_host_cut_off_from_the_store_takes_a_snapshot_of_another(
     ready_deployment,
 ):
-    """Two hosts know each other; the store turns one of them away."""
+    """Suspend a host during a change and resume it in a store outage."""
     ready_deployment.start_host('north-b')
     wait_until(
         lambda: 'event=host_heard' in ready_deployment.hosts['north-b'].log(),
-        'north-b hears north-a',
+        'north-b receives heartbeats of north-a',
     )
     ready_deployment.hosts['north-b'].signal(19)
     ready_deployment.put_routes(route('/order/'), route('/quote/'))
@@ -218,7 +218,7 @@
 
 
 def test_request_is_relayed_to_the_only_region_that_may_serve_it(deployment):
-    """A caller in the north asks for what only the south may serve."""
+    """Send a request in the north that only the south may serve."""
     deployment.put_routes(
         route('/south/', **{'allowed-regions': ['south']}),
         route('/any/'),
@@ -235,7 +235,7 @@
 
 
 def test_rejection_in_another_region_is_reported_as_not_run(deployment):
-    """The request was passed on and turned down there without running."""
+    """Reject a relayed request in the other region without running it."""
     deployment.put_routes(route('/south/', **{'allowed-regions': ['south']}))
     deployment.add_target('i-s', 'desk', 'south-1')
     deployment.start_host('north-a', 'north-1')
@@ -276,10 +276,10 @@
 
 
 def test_attempts_in_other_regions_count_like_those_at_home(deployment):
-    """A request may run at two targets; two regions have some that fail it.
+    """Limit a request to two attempts while targets of two regions fail it.
 
-    Each region counting for itself, the south would run it twice and the
-    west once more.
+    If each region counted its own attempts, the south would run the request
+    twice and the west once more.
     """
     deployment.put_routes(
         route('/any/', kind='idempotent', **{'max-attempts': 2})
@@ -296,7 +296,7 @@
     wait_served(deployment, 'north-a', '/any/1')
     wait_until(
         lambda: deployment.hosts['north-a'].log().count('state=active') >= 2,
-        'the north hears both regions serving',
+        'the north receives heartbeats of both regions',
     )
     for target in deployment.targets.values():
         target.executed.clear()
--- a/tests/gateway/test_other_writers.py
+++ b/tests/gateway/test_other_writers.py
@@ -1,4 +1,4 @@
-"""Records of the store that another writer made, or spoiled."""
+"""Malformed records in the store, written by other programs."""
 
 import asyncio
 import json
@@ -60,11 +60,11 @@
     'content', UNREADABLE_CONTENTS, ids=range(len(UNREADABLE_CONTENTS))
 )
 def test_malformed_record_adds_no_target(content):
-    """Another writer puts an entry among the targets.
+    """Skip a malformed record among those of the targets.
 
-    Taken for a target it would get requests that nothing answers; raised as
-    an error nobody expects it would end the task that follows the store, and
-    every later change would be missed.
+    Treated as a target, it would get requests that nothing answers. Raised as
+    an unexpected error, it would end the task that follows the store, and all
+    later changes would be missed.
     """
     records, notifications = catalogue()
     records.apply([Record('servers/x', 1, content), target('i', 2)], 2)
@@ -81,10 +81,10 @@
 
 
 def test_target_with_an_overwritten_record_is_removed():
-    """A target's entry is overwritten with bytes that say nothing.
+    """Stop using a target whose record is overwritten with invalid bytes.
 
-    The entry as it was before no longer holds. The target's own next entry
-    brings it back.
+    Its previous record is no longer valid. The next record that the target
+    writes itself restores it.
     """
     clock = FakeClock()
     records = Catalogue(PlatformReader(), decode_host, clock)
@@ -140,7 +140,7 @@
         st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
         lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
         max_leaves=8,
-    ).map(lambda records: json.dumps(records).encode()),
+    ).map(lambda document: json.dumps(document).encode()),
     st.dictionaries(
         st.sampled_from([*entry(), 'born', 'remaining-ms']),
         st.none() | st.integers() | st.floats() | st.text(max_size=9),
@@ -159,10 +159,10 @@
 
 
 def test_failed_background_task_is_restarted():
-    """The task that follows the store meets an error that nobody foresaw.
+    """Restart the task that follows the store after an unexpected error.
 
-    Left dead, the host looks well and follows nothing; ended with its
-    process, it cuts every answer that is on its way.
+    If the task stayed dead, the host would look healthy but miss all changes.
+    If the process exited, all responses in flight would be cut off.
     """
 
     class FailingStore:
