--- a/bench/hearing.py
+++ b/bench/hearing.py
@@ -50,7 +50,7 @@
 
 def watch(heartbeats, cost):
     """Count what passes through a host's heartbeats from now on."""
-    take, beat = heartbeats.datagram_received, heartbeats.beat
+    take, beat = heartbeats.datagram_received, heartbeats.send_heartbeats
     send = heartbeats._send
 
     def counted_take(content, addr):
@@ -75,7 +75,7 @@
 
     heartbeats.datagram_received = counted_take
     heartbeats._send = counted_send
-    heartbeats.beat = counted_beat
+    heartbeats.send_heartbeats = counted_beat
 
 
 def row(hosts, kind, costs):
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -45,7 +45,7 @@
 
 
 def suspects(fleet, name):
-    return fleet.hosts[name].heartbeats.content.suspects
+    return fleet.hosts[name].heartbeats.builder.suspects
 
 
 def seconds_until_all_refuse(hosts, lost, seed):
@@ -66,13 +66,13 @@
     """Return what a host sends in the time for which news are told."""
     fleet = started(hosts, 0.0, seed)
     sent = []
-    carry = fleet.carry
+    carry = fleet.deliver
 
     def counted(sender, content, place):
         sent.append(len(content))
         carry(sender, content, place)
 
-    fleet.carry = counted
+    fleet.deliver = counted
     fleet.run(TOLD_SECONDS)
     calm = sum(sent)
     sent.clear()
--- a/jacinthfold/catalogue/follower.py
+++ b/jacinthfold/catalogue/follower.py
@@ -18,20 +18,20 @@
 
 # How long one watch waits; a silent connection is noticed after this and the
 # store's own timeout. Each ended watch is a priced call.
-WATCH_SECONDS = 4.0
+WATCH_TIMEOUT_SECONDS = 4.0
 # Changes come in clusters; one call then fetches several. Drained targets
 # must be obeyed within 3 s, so half a second is well inside.
-GATHER_SECONDS = 0.5
+BATCH_DELAY_SECONDS = 0.5
 # The same for a host that watches in case another one stops: what that one's
 # connection hangs for is covered well inside the shortest bound of 3 s.
-COVER_GATHER_SECONDS = 1.2
-RETRY_SECONDS = (0.2, 0.5)
+STANDBY_BATCH_DELAY_SECONDS = 1.2
+RETRY_DELAY_SECONDS = (0.2, 0.5)
 # After several calls in a row that failed: refused calls are priced too.
-LATE_RETRY_SECONDS = (0.7, 1.1)
-EARLY_RETRIES = 2
+REPEATED_RETRY_DELAY_SECONDS = (0.7, 1.1)
+MAX_FAST_RETRIES = 2
 # A host that is killed vanishes from the list within this time.
-LEASE_SECONDS = 4.0
-RENEW_SECONDS = 1.3
+LEASE_TTL_SECONDS = 4.0
+RENEWAL_INTERVAL_SECONDS = 1.3
 
 
 class Follower:
@@ -45,14 +45,14 @@
         self._catalogue = catalogue
         self._clock = clock
         self._is_listed = False
-        self.heard_at = -1.0
+        self.reached_at = -1.0
         self.is_reached = False
         self._is_watching = True
         self._failed_count = 0
         # Whether this host watches the store, or leaves that to neighbours.
         self.watches: Callable[[], bool] = lambda: True
         # Whether it watches only in case that another one stops.
-        self.covers: Callable[[], bool] = _never
+        self.is_standby: Callable[[], bool] = _never
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -65,39 +65,41 @@
                 )
                 self._is_listed = False
             except MetadataError as error:
-                self._note_lost(error)
-                await asyncio.sleep(self._retry_seconds())
+                self._record_lost(error)
+                await asyncio.sleep(self._retry_delay_seconds())
 
     async def _step(self) -> None:
         if not self._is_listed:
-            asked_at = self._clock.boottime()
+            requested_at = self._clock.boottime()
             records, revision = await self._store.list_all()
             self._catalogue.replace(records, revision)
-            self._catalogue.freshness.note(asked_at, revision)
+            self._catalogue.freshness.record_revision(requested_at, revision)
             self._is_listed = True
-            self._note_reached()
+            self._record_reached()
             return
-        self._note_watching(is_watching=self.watches())
+        self._update_watching(is_watching=self.watches())
         if not self._is_watching:
-            await asyncio.sleep(GATHER_SECONDS)
+            await asyncio.sleep(BATCH_DELAY_SECONDS)
             return
         since = self._catalogue.revision
-        asked_at = self._clock.boottime()
+        requested_at = self._clock.boottime()
         changes, revision = await self._store.changes_since(
-            since, WATCH_SECONDS
+            since, WATCH_TIMEOUT_SECONDS
         )
-        self._note_reached()
+        self._record_reached()
         self._catalogue.apply(changes, revision)
         if changes:
             # Without changes it proves nothing: a store that drops its history
             # lets watches wait while things change.
-            self._catalogue.freshness.note(asked_at, revision)
-            is_cover = self.covers()
+            self._catalogue.freshness.record_revision(requested_at, revision)
+            is_backup = self.is_standby()
             await asyncio.sleep(
-                COVER_GATHER_SECONDS if is_cover else GATHER_SECONDS
+                STANDBY_BATCH_DELAY_SECONDS
+                if is_backup
+                else BATCH_DELAY_SECONDS
             )
 
-    def _note_watching(self, *, is_watching: bool) -> None:
+    def _update_watching(self, *, is_watching: bool) -> None:
         if is_watching is not self._is_watching:
             self._is_watching = is_watching
             logs.event(
@@ -106,21 +108,21 @@
                 revision=self._catalogue.revision,
             )
 
-    def _retry_seconds(self) -> float:
+    def _retry_delay_seconds(self) -> float:
         self._failed_count += 1
-        is_early = self._failed_count <= EARLY_RETRIES
+        is_fast = self._failed_count <= MAX_FAST_RETRIES
         return random.uniform(
-            *(RETRY_SECONDS if is_early else LATE_RETRY_SECONDS)
+            *(RETRY_DELAY_SECONDS if is_fast else REPEATED_RETRY_DELAY_SECONDS)
         )
 
-    def _note_reached(self) -> None:
+    def _record_reached(self) -> None:
         self._failed_count = 0
-        self.heard_at = self._clock.monotonic()
+        self.reached_at = self._clock.monotonic()
         if not self.is_reached:
             self.is_reached = True
             logs.event('store_reached', revision=self._catalogue.revision)
 
-    def _note_lost(self, error: MetadataError) -> None:
+    def _record_lost(self, error: MetadataError) -> None:
         if self.is_reached:
             self.is_reached = False
             logs.warning(
@@ -154,7 +156,9 @@
             except MetadataError as error:
                 self.is_reached = False
                 logs.warning('registration_failed', reason=str(error))
-            await asyncio.sleep(random.uniform(0.8, 1.0) * RENEW_SECONDS)
+            await asyncio.sleep(
+                random.uniform(0.8, 1.0) * RENEWAL_INTERVAL_SECONDS
+            )
 
     async def leave(self) -> None:
         """End the registration; the lease ends by itself if that fails."""
@@ -171,7 +175,7 @@
         if self._lease:
             await self._store.renew_lease(self._lease)
             return
-        lease = await self._store.grant_lease(LEASE_SECONDS)
+        lease = await self._store.grant_lease(LEASE_TTL_SECONDS)
         await self._store.write_host(
             self._own.name, encode_host(self._own), lease
         )
--- a/jacinthfold/catalogue/freshness.py
+++ b/jacinthfold/catalogue/freshness.py
@@ -13,10 +13,10 @@
 
 # Questions whose answers name a revision that isn't known yet: the newest are
 # enough, since each proves more than those before it.
-PENDING_KEPT = 8
+MAX_PENDING_PROOFS = 8
 
 
-class Proof:
+class FreshnessProof:
     """Hold that all up to a revision was known, and as of when."""
 
     __slots__ = ('as_of', 'revision')
@@ -30,14 +30,14 @@
 class Freshness:
     """Hold the newest proof for what this host knows."""
 
-    __slots__ = ('_clock', '_known', '_pending', 'proof')
+    __slots__ = ('_clock', '_known_revision', '_pending', 'proof')
 
     def __init__(self, clock: Clock) -> None:
         """Start without a proof."""
         self._clock = clock
-        self._known = 0
-        self._pending: deque[Proof] = deque(maxlen=PENDING_KEPT)
-        self.proof = Proof(float('-inf'), 0)
+        self._known_revision = 0
+        self._pending: deque[FreshnessProof] = deque(maxlen=MAX_PENDING_PROOFS)
+        self.proof = FreshnessProof(float('-inf'), 0)
 
     @property
     def age_seconds(self) -> float:
@@ -49,19 +49,19 @@
         """Tell whether the store was seen ahead of what is known here."""
         return bool(self._pending)
 
-    def note(self, as_of: float, revision: int) -> None:
+    def record_revision(self, as_of: float, revision: int) -> None:
         """Take the store's revision, as of when the question was sent."""
         if as_of <= self.proof.as_of:
             return
-        if revision > self._known:
-            self._pending.append(Proof(as_of, revision))
+        if revision > self._known_revision:
+            self._pending.append(FreshnessProof(as_of, revision))
         else:
-            self.proof = Proof(as_of, revision)
+            self.proof = FreshnessProof(as_of, revision)
 
     def advance(self, revision: int) -> None:
         """Take that all up to a revision is known now."""
-        self._known = max(self._known, revision)
+        self._known_revision = max(self._known_revision, revision)
         pending = list(self._pending)
         self._pending.clear()
         for proof in pending:
-            self.note(proof.as_of, proof.revision)
+            self.record_revision(proof.as_of, proof.revision)
--- a/jacinthfold/catalogue/prover.py
+++ b/jacinthfold/catalogue/freshness_checker.py
@@ -9,20 +9,20 @@
 from jacinthfold.catalogue.records import Catalogue
 from jacinthfold.clock import Clock
 
-CHECK_SECONDS = 0.4
+CHECK_INTERVAL_SECONDS = 0.4
 # After a call that failed: each call is priced, also one that is refused, and
 # of a region's hosts one that is answered is enough.
-FAILED_SECONDS = (0.8, 1.4)
+FAILED_CHECK_DELAY_SECONDS = (0.8, 1.4)
 # Watches of a busy store prove more often than this by themselves.
-WATCHER_AGE_SECONDS = 1.0
+MAX_WATCHER_PROOF_AGE_SECONDS = 1.0
 # What neighbours prove travels by two heartbeats; older, nobody near knows.
-OTHER_AGE_SECONDS = 2.0
+MAX_OTHER_PROOF_AGE_SECONDS = 2.0
 # A watch brings a change within this; else its connection is dead or the store
 # dropped what it waits for.
-BEHIND_SECONDS = 1.2
+MAX_BEHIND_SECONDS = 1.2
 
 
-class Prover:
+class FreshnessChecker:
     """Keep the knowledge of a host proven while the store answers."""
 
     def __init__(
@@ -43,20 +43,20 @@
     async def run(self) -> None:
         """Ask whenever the proof grows old, until cancelled."""
         while True:
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             if not self.is_needed or self._catalogue.routes is None:
                 continue
             try:
-                await self._step()
+                await self._check()
             except MetadataError as error:
                 logs.warning('proof_failed', reason=str(error))
-                await asyncio.sleep(random.uniform(*FAILED_SECONDS))
+                await asyncio.sleep(random.uniform(*FAILED_CHECK_DELAY_SECONDS))
 
-    async def _step(self) -> None:
+    async def _check(self) -> None:
         freshness = self._catalogue.freshness
-        limit = OTHER_AGE_SECONDS
+        limit = MAX_OTHER_PROOF_AGE_SECONDS
         if self.watches():
-            limit = WATCHER_AGE_SECONDS
+            limit = MAX_WATCHER_PROOF_AGE_SECONDS
         if freshness.age_seconds <= limit:
             self._behind_since = None
             return
@@ -64,14 +64,14 @@
         if freshness.is_behind and self._behind_since is None:
             self._behind_since = now
         since = self._behind_since
-        if since is not None and now - since > BEHIND_SECONDS:
-            await self._list(now)
+        if since is not None and now - since > MAX_BEHIND_SECONDS:
+            await self._reload(now)
             return
-        freshness.note(now, await self._store.current_revision())
+        freshness.record_revision(now, await self._store.current_revision())
 
-    async def _list(self, now: float) -> None:
+    async def _reload(self, now: float) -> None:
         records, revision = await self._store.list_all()
         self._catalogue.replace(records, revision)
-        self._catalogue.freshness.note(now, revision)
+        self._catalogue.freshness.record_revision(now, revision)
         self._behind_since = None
         logs.event('store_listed_again', revision=revision)
--- a/jacinthfold/catalogue/host_codec.py
+++ b/jacinthfold/catalogue/host_codec.py
@@ -22,10 +22,10 @@
 
 def encode_host(host: HostRecord) -> bytes:
     """Return a host's record as bytes."""
-    return msgspec.json.encode(document_of(host))
+    return msgspec.json.encode(document_from_host(host))
 
 
-def document_of(host: HostRecord) -> HostDocument:
+def document_from_host(host: HostRecord) -> HostDocument:
     """Return a host's record as it is written."""
     return HostDocument(
         host.name,
@@ -40,12 +40,12 @@
 def decode_host(content: bytes) -> HostRecord:
     """Return the host in a record; raise UnreadableRecordError."""
     try:
-        return host_of(_host_decoder.decode(content))
+        return host_from_document(_host_decoder.decode(content))
     except (ValueError, RecursionError) as error:
         raise UnreadableRecordError(str(error)) from error
 
 
-def host_of(document: HostDocument) -> HostRecord:
+def host_from_document(document: HostDocument) -> HostRecord:
     """Return the host in a decoded record."""
     return HostRecord(
         document.name,
--- a/jacinthfold/catalogue/model.py
+++ b/jacinthfold/catalogue/model.py
@@ -7,7 +7,7 @@
 from jacinthfold.organisations.model import OrganisationTable
 
 
-class Repetition(Enum):
+class RetryPolicy(Enum):
     """Say what may be repeated of a route's requests."""
 
     NEVER = 'never'
@@ -19,8 +19,8 @@
     """Hold what the operator declared for one prefix of one host name."""
 
     __slots__ = (
-        'aim_seconds',
-        'gap_aim_seconds',
+        'latency_objective_seconds',
+        'gap_objective_seconds',
         'home_regions',
         'host_name',
         'is_public',
@@ -29,7 +29,7 @@
         'name',
         'prefix',
         'priority',
-        'repetition',
+        'retry_policy',
         'services',
         'timeout_seconds',
     )
@@ -49,10 +49,10 @@
         # Served to callers without a key, where organisations have keys.
         self.is_public = False
         self.is_stream = False
-        self.repetition = Repetition.NEVER
+        self.retry_policy = RetryPolicy.NEVER
         self.timeout_seconds = 30.0
-        self.aim_seconds = 1.0
-        self.gap_aim_seconds = 0.0
+        self.latency_objective_seconds = 1.0
+        self.gap_objective_seconds = 0.0
         self.priority = 0
         self.max_attempts = 1
         self.home_regions: frozenset[str] = frozenset()
@@ -79,7 +79,7 @@
         'cold_seconds',
         'connection_limit',
         'copy_seconds_per_token',
-        'memory_tokens',
+        'kv_cache_tokens',
         'name',
         'slots',
     )
@@ -92,7 +92,7 @@
         self.cold_requests_per_second = 0.0
         # Both are 0 where the service runs no model.
         self.slots = 0
-        self.memory_tokens = 0
+        self.kv_cache_tokens = 0
         # What a target needs to copy a token that another one keeps; None
         # where targets can't copy.
         self.copy_seconds_per_token: float | None = None
@@ -100,7 +100,7 @@
     @property
     def is_engine(self) -> bool:
         """Tell whether the targets run a model on prompts."""
-        return self.memory_tokens > 0
+        return self.kv_cache_tokens > 0
 
 
 class CallerLimits:
@@ -164,16 +164,16 @@
                 return route
         return None
 
-    def homes_of(self, host_name: str) -> frozenset[str] | None:
+    def common_home_regions(self, host_name: str) -> frozenset[str] | None:
         """Return regions that every homed route of a host name allows."""
-        homed = [
+        home_region_sets = [
             route.home_regions
             for route in self._by_host.get(host_name, ())
             if route.home_regions
         ]
-        if not homed:
+        if not home_region_sets:
             return None
-        return frozenset.intersection(*homed)
+        return frozenset.intersection(*home_region_sets)
 
 
 class TargetRecord:
@@ -181,7 +181,7 @@
 
     __slots__ = (
         'address',
-        'born_ms',
+        'started_at_ms',
         'cold_seconds',
         'data_centre',
         'instance',
@@ -203,7 +203,7 @@
         # When this life began, Unix milliseconds of the target's clock. A
         # target may start again as the same instance; it then knows nothing
         # of before. None where targets don't tell.
-        self.born_ms: int | None = None
+        self.started_at_ms: int | None = None
         self.service = service
         self.address = address
         self.data_centre = data_centre
@@ -213,11 +213,11 @@
         self.remaining_seconds: float | None = None
 
     @property
-    def life(self) -> str:
+    def incarnation_id(self) -> str:
         """Return a name for this life of the instance."""
-        if self.born_ms is None:
+        if self.started_at_ms is None:
             return self.instance
-        return f'{self.instance}/{self.born_ms}'
+        return f'{self.instance}/{self.started_at_ms}'
 
 
 class HostRecord:
@@ -238,15 +238,15 @@
         self,
         name: str,
         incarnation: int,
-        place: tuple[str, str],
+        location: tuple[str, str],
         address: str,
         ports: tuple[int, int, int],
     ) -> None:
         """Take (region, data centre) and (caller, relay, control) ports."""
         self.name = name
         self.incarnation = incarnation
-        self.region = place[0]
-        self.data_centre = place[1]
+        self.region = location[0]
+        self.data_centre = location[1]
         self.address = address
         self.caller_port = ports[0]
         self.relay_port = ports[1]
--- a/jacinthfold/catalogue/records.py
+++ b/jacinthfold/catalogue/records.py
@@ -11,9 +11,9 @@
 from jacinthfold.clock import Clock
 
 # Removals that are remembered for hosts that ask what changed.
-REMOVALS_KEPT = 500
+MAX_REMEMBERED_REMOVALS = 500
 # Characters of a key that a log line shows; another writer's may be long.
-KEY_SHOWN = 80
+MAX_LOGGED_KEY_CHARACTERS = 80
 
 
 class Record:
@@ -32,7 +32,7 @@
     """Say that a record is not what its key promises."""
 
 
-class Kind(Enum):
+class RecordKind(Enum):
     """Say what a record is about."""
 
     ROUTES = 'routes'
@@ -47,7 +47,7 @@
 class RecordReader(Protocol):
     """Turn records into types; raise UnreadableRecordError."""
 
-    def kind_of(self, key: str) -> tuple[Kind, str]:
+    def kind_of(self, key: str) -> tuple[RecordKind, str]:
         """Return what a key is about and the name within that kind."""
 
     def read_routes(self, content: bytes) -> RouteTable:
@@ -136,15 +136,15 @@
         # What was removed before the list was made is not in it.
         self._removals_since = max(self._removals_since, revision)
         listed = list(records)
-        kept = {record.key for record in listed}
+        listed_keys = {record.key for record in listed}
         for key, known in list(self._records.items()):
-            if key not in kept and known.revision <= revision:
+            if key not in listed_keys and known.revision <= revision:
                 self._apply_one(Record(key, revision, None))
         self.apply(listed, revision)
 
     def _remember_removal(self, record: Record) -> None:
         self._removals.append(record)
-        if len(self._removals) > REMOVALS_KEPT:
+        if len(self._removals) > MAX_REMEMBERED_REMOVALS:
             self._removals_since = self._removals.popleft().revision
 
     def _advance(self, revision: int) -> None:
@@ -165,11 +165,11 @@
         else:
             self._records[record.key] = record
         try:
-            self._announce(record)
+            self._notify(record)
         except UnreadableRecordError as error:
             logs.error(
                 'record_unreadable',
-                key=record.key[:KEY_SHOWN],
+                key=record.key[:MAX_LOGGED_KEY_CHARACTERS],
                 revision=record.revision,
                 reason=str(error),
             )
@@ -183,25 +183,25 @@
         # back with its own next entry.
         kind, name = self._reader.kind_of(record.key)
         for listener in self._listeners:
-            if kind is Kind.TARGET:
+            if kind is RecordKind.TARGET:
                 listener.on_target_removed(name)
-            elif kind is Kind.HOST:
+            elif kind is RecordKind.HOST:
                 listener.on_host(None, name)
 
-    def _announce(self, record: Record) -> None:
+    def _notify(self, record: Record) -> None:
         kind, name = self._reader.kind_of(record.key)
-        announce: Mapping[Kind, Any] = {
-            Kind.ROUTES: self._announce_routes,
-            Kind.TARGET: self._announce_target,
-            Kind.EVACUATION: self._announce_evacuation,
-            Kind.HOST: self._announce_host,
-            Kind.QUARANTINE: self._announce_quarantine,
-            Kind.ISSUER: self._announce_issuer,
+        notifiers: Mapping[RecordKind, Any] = {
+            RecordKind.ROUTES: self._notify_routes,
+            RecordKind.TARGET: self._notify_target,
+            RecordKind.EVACUATION: self._notify_evacuation,
+            RecordKind.HOST: self._notify_host,
+            RecordKind.QUARANTINE: self._notify_quarantine,
+            RecordKind.ISSUER: self._notify_issuer,
         }
-        if kind in announce:
-            announce[kind](name, record)
+        if kind in notifiers:
+            notifiers[kind](name, record)
 
-    def _announce_routes(self, _name: str, record: Record) -> None:
+    def _notify_routes(self, _name: str, record: Record) -> None:
         if record.content is None:
             return
         table = self._reader.read_routes(record.content)
@@ -218,7 +218,7 @@
         for listener in self._listeners:
             listener.on_routes(table)
 
-    def _announce_target(self, name: str, record: Record) -> None:
+    def _notify_target(self, name: str, record: Record) -> None:
         if record.content is None:
             for listener in self._listeners:
                 listener.on_target_removed(name)
@@ -227,7 +227,7 @@
         for listener in self._listeners:
             listener.on_target(target)
 
-    def _announce_evacuation(self, name: str, record: Record) -> None:
+    def _notify_evacuation(self, name: str, record: Record) -> None:
         is_evacuated = record.content is not None
         if is_evacuated:
             self.evacuated |= {name}
@@ -242,18 +242,18 @@
         for listener in self._listeners:
             listener.on_evacuation(name, is_evacuated)
 
-    def _announce_host(self, name: str, record: Record) -> None:
+    def _notify_host(self, name: str, record: Record) -> None:
         host = None
         if record.content is not None:
             host = self._read_host(record.content)
         for listener in self._listeners:
             listener.on_host(host, name)
 
-    def _announce_quarantine(self, name: str, record: Record) -> None:
+    def _notify_quarantine(self, name: str, record: Record) -> None:
         for listener in self._listeners:
             listener.on_quarantine(name, record.content)
 
-    def _announce_issuer(self, name: str, record: Record) -> None:
+    def _notify_issuer(self, name: str, record: Record) -> None:
         for listener in self._listeners:
             listener.on_issuer(name, record)
 
--- a/jacinthfold/fleet/gathering.py
+++ b/jacinthfold/fleet/aggregation.py
@@ -4,9 +4,9 @@
 
 from jacinthfold.catalogue.host_codec import HostDocument
 from jacinthfold.catalogue.model import HostRecord
-from jacinthfold.fleet.digest_message import Digest, HostWord
+from jacinthfold.fleet.digest_message import Digest, HostSummary
 from jacinthfold.fleet.heartbeat_message import Heartbeat, LoadFigures
-from jacinthfold.fleet.table import SILENCE_SECONDS
+from jacinthfold.fleet.table import HOST_TIMEOUT_SECONDS
 from jacinthfold.placement import limits
 from jacinthfold.placement.kept import RecentUses
 from jacinthfold.placement.law import SUMS_SECONDS
@@ -14,26 +14,33 @@
 
 # A host's address is told in each digest for this long after it was first
 # heard, and in every fifth one after that.
-NEW_SECONDS = 2.0
-PLACES_EVERY = 5
+NEW_HOST_SECONDS = 2.0
+ENDPOINT_INTERVAL_DIGESTS = 5
 # Laws and read tokens change over seconds.
-SLOW_EVERY = 5
+FULL_INTERVAL_DIGESTS = 5
 
 
 class _Member:
     """Hold one host's latest heartbeat."""
 
-    __slots__ = ('first_at', 'heard_at', 'heartbeat', 'laws', 'laws_at', 'read')
+    __slots__ = (
+        'first_heard_at',
+        'heard_at',
+        'heartbeat',
+        'laws',
+        'laws_at',
+        'prefilled_tokens',
+    )
 
     def __init__(self, heartbeat: Heartbeat, now: float) -> None:
-        self.first_at = now
+        self.first_heard_at = now
         self.heard_at = now
         self.heartbeat = heartbeat
         self.laws: Mapping[str, list[float]] = {}
         self.laws_at = now
-        self.read: dict[str, float] = {}
+        self.prefilled_tokens: dict[str, float] = {}
 
-    def take(self, heartbeat: Heartbeat, now: float) -> None:
+    def update(self, heartbeat: Heartbeat, now: float) -> None:
         self.heard_at = now
         self.heartbeat = heartbeat
         if heartbeat.laws:
@@ -41,7 +48,7 @@
             self.laws_at = now
 
 
-class Gathering:
+class HeartbeatAggregator:
     """Keep the latest heartbeats of a data centre, and make its digests."""
 
     def __init__(self, own: HostRecord) -> None:
@@ -51,10 +58,10 @@
         self._uses = RecentUses()
         # Tokens that targets have read for members since they were first
         # heard here.
-        self._read_tokens: dict[str, float] = {}
+        self._prefilled_tokens: dict[str, float] = {}
         self._count = 0
 
-    def take(self, heartbeat: Heartbeat, now: float) -> None:
+    def add(self, heartbeat: Heartbeat, now: float) -> None:
         """Take a heartbeat of a host of the own data centre."""
         name = heartbeat.host.name
         member = self._members.get(name)
@@ -62,16 +69,16 @@
             member = _Member(heartbeat, now)
             self._members[name] = member
             # What it has read before was told by others.
-            member.read = dict(heartbeat.read_tokens)
+            member.prefilled_tokens = dict(heartbeat.read_tokens)
         elif heartbeat.host.incarnation != member.heartbeat.host.incarnation:
             return
-        member.take(heartbeat, now)
-        self._add_read(member, heartbeat.read_tokens)
+        member.update(heartbeat, now)
+        self._add_prefilled_tokens(member, heartbeat.read_tokens)
         for life, names in heartbeat.uses.items():
-            for part in names:
-                self._uses.note_told(life, part, now)
+            for segment_name in names:
+                self._uses.note_told(life, segment_name, now)
 
-    def digest(self, now: float, rank: int) -> Digest:
+    def make_digest(self, now: float, rank: int) -> Digest:
         """Return what was heard, as told by a collector of a rank."""
         self._drop_silent(now)
         self._count += 1
@@ -85,50 +92,52 @@
             rank,
             self._count,
             0,
-            [_word(member, now) for member in self._members.values()],
-            places=self._places(now),
+            [_summary(member, now) for member in self._members.values()],
+            places=self._endpoints(now),
             loads=self._loads(now),
             uses=self._uses.by_life(now),
             limits=self._limits(now),
         )
-        made.is_full = self._count % SLOW_EVERY == 0
+        made.is_full = self._count % FULL_INTERVAL_DIGESTS == 0
         if made.is_full:
-            made.read_tokens = self._told_read_tokens()
-            made.laws = self._laws(now)
+            made.read_tokens = self._current_prefilled_tokens()
+            made.laws = self._latency_models(now)
         return made
 
     def _drop_silent(self, now: float) -> None:
         for name, member in list(self._members.items()):
-            if now - member.heard_at >= SILENCE_SECONDS:
+            if now - member.heard_at >= HOST_TIMEOUT_SECONDS:
                 self._members.pop(name)
 
-    def _add_read(
+    def _add_prefilled_tokens(
         self, member: _Member, read_tokens: Mapping[str, float]
     ) -> None:
         for life, tokens in read_tokens.items():
-            grown = tokens - member.read.get(life, 0.0)
-            total = self._read_tokens.get(life, 0.0)
-            self._read_tokens[life] = total + max(0.0, grown)
-            member.read[life] = tokens
+            growth = tokens - member.prefilled_tokens.get(life, 0.0)
+            total = self._prefilled_tokens.get(life, 0.0)
+            self._prefilled_tokens[life] = total + max(0.0, growth)
+            member.prefilled_tokens[life] = tokens
 
-    def _told_read_tokens(self) -> dict[str, float]:
+    def _current_prefilled_tokens(self) -> dict[str, float]:
         # Lives that no member names any more are gone.
-        named = {
-            life for member in self._members.values() for life in member.read
+        reported = {
+            life
+            for member in self._members.values()
+            for life in member.prefilled_tokens
         }
-        self._read_tokens = {
+        self._prefilled_tokens = {
             life: tokens
-            for life, tokens in self._read_tokens.items()
-            if life in named
+            for life, tokens in self._prefilled_tokens.items()
+            if life in reported
         }
-        return self._read_tokens
+        return self._prefilled_tokens
 
-    def _places(self, now: float) -> list[HostDocument]:
-        is_due = self._count % PLACES_EVERY == 0
+    def _endpoints(self, now: float) -> list[HostDocument]:
+        is_due = self._count % ENDPOINT_INTERVAL_DIGESTS == 0
         return [
             member.heartbeat.host
             for member in self._members.values()
-            if is_due or now - member.first_at < NEW_SECONDS
+            if is_due or now - member.first_heard_at < NEW_HOST_SECONDS
         ]
 
     def _loads(self, now: float) -> dict[str, LoadFigures]:
@@ -143,19 +152,19 @@
         newest: dict[str, LimitWord] = {}
         for member in self._members.values():
             held_ms = round((now - member.heard_at) * 1000)
-            for life, told in member.heartbeat.limits.items():
-                word = (told[0], told[1] + held_ms, told[2])
+            for life, reported in member.heartbeat.limits.items():
+                report = (reported[0], reported[1] + held_ms, reported[2])
                 known = newest.get(life)
-                if known is None or word[1] < known[1]:
-                    newest[life] = word
+                if known is None or report[1] < known[1]:
+                    newest[life] = report
         return newest
 
-    def _laws(self, now: float) -> dict[str, list[float]]:
+    def _latency_models(self, now: float) -> dict[str, list[float]]:
         sums: dict[str, list[float]] = {}
         for member in self._members.values():
             if now - member.laws_at < SUMS_SECONDS:
-                for service, told in member.laws.items():
-                    sums[service] = _added(sums.get(service), told)
+                for service, reported in member.laws.items():
+                    sums[service] = _added(sums.get(service), reported)
         return sums
 
 
@@ -164,9 +173,9 @@
     return known < heartbeat.host.incarnation
 
 
-def _word(member: _Member, now: float) -> HostWord:
+def _summary(member: _Member, now: float) -> HostSummary:
     heartbeat = member.heartbeat
-    return HostWord(
+    return HostSummary(
         heartbeat.host.name,
         heartbeat.host.incarnation,
         round((now - member.heard_at) * 1000),
@@ -195,7 +204,7 @@
         )
 
 
-def _added(known: Iterable[float] | None, told: list[float]) -> list[float]:
+def _added(known: Iterable[float] | None, reported: list[float]) -> list[float]:
     if known is None:
-        return told
-    return [one + two for one, two in zip(known, told, strict=False)]
+        return reported
+    return [one + two for one, two in zip(known, reported, strict=False)]
--- a/jacinthfold/fleet/collectors.py
+++ b/jacinthfold/fleet/collectors.py
@@ -12,9 +12,9 @@
 
 # Hosts of a region from which on collectors are used: with fewer, telling all
 # costs no more, and nothing is heard at second hand.
-COLLECTED_HOSTS = 12
+MIN_HOSTS_FOR_COLLECTORS = 12
 # Of a data centre; the second one covers for the first while it is away.
-COLLECTORS = 2
+COLLECTORS_PER_DATA_CENTRE = 2
 # A host that was not heard for this long collects no more: longer than a
 # heartbeat and a digest that are both lost once, shorter than the silence
 # after which hosts are dropped.
@@ -34,9 +34,16 @@
         """Tell whether the own region is large enough, and all can read."""
         hosts = self._hosts
         count = 1 + len(hosts.names_in(hosts.own.region))
-        return count >= COLLECTED_HOSTS and hosts.all_live_read_digests()
+        return (
+            count >= MIN_HOSTS_FOR_COLLECTORS
+            and hosts.all_live_support_digests()
+        )
 
-    def of(self, data_centre: str) -> list[str]:
+    def select(self, data_centre: str) -> list[str]:
         """Return the names of a data centre's collectors, the first first."""
-        able = self._hosts.active_in(data_centre, COLLECTOR_SILENCE_SECONDS)
-        return rank(f'collectors of {data_centre}', able)[:COLLECTORS]
+        candidates = self._hosts.active_in(
+            data_centre, COLLECTOR_SILENCE_SECONDS
+        )
+        return rank(f'collectors of {data_centre}', candidates)[
+            :COLLECTORS_PER_DATA_CENTRE
+        ]
--- a/jacinthfold/fleet/digest_message.py
+++ b/jacinthfold/fleet/digest_message.py
@@ -6,16 +6,16 @@
 from jacinthfold.fleet.heartbeat_message import (
     DIGEST_MARK,
     LoadFigures,
-    ProofWord,
-    packed,
-    unpacked,
+    ProofReport,
+    deflate,
+    inflate,
 )
 from jacinthfold.fleet.table import HostState
 from jacinthfold.placement.request_limit import LimitWord
 from jacinthfold.quarantine.ends import SuspectWord
 
 
-class HostWord(msgspec.Struct, array_like=True):
+class HostSummary(msgspec.Struct, array_like=True):
     """Hold what a collector last heard of one host."""
 
     name: str
@@ -24,10 +24,10 @@
     state: HostState
     revision: int
     reaches_store: bool
-    reads_packed: bool
-    reads_digests: bool
+    supports_compression: bool
+    supports_digests: bool
     # Number of the heartbeat whose load is part of the digest's sums.
-    count: int
+    heartbeat_number: int
 
 
 class Digest(msgspec.Struct):
@@ -49,7 +49,7 @@
     count: int
     # Time since it was made, for those that pass it on.
     age_ms: int
-    hosts: list[HostWord]
+    hosts: list[HostSummary]
     # How hosts are reached: new ones at once, all now and then.
     places: list[HostDocument] = []
     # Sums by the life of a target.
@@ -67,7 +67,7 @@
     # Limits that targets named to these hosts, by the life of a target.
     limits: dict[str, LimitWord] = {}
     # How old its maker's knowledge of the store was.
-    proof: ProofWord | None = None
+    proof: ProofReport | None = None
 
 
 class Digests(msgspec.Struct):
@@ -81,12 +81,12 @@
 
 def encode_digests(digests: list[Digest]) -> bytes:
     """Return digests for hosts that read them."""
-    return DIGEST_MARK + packed(msgspec.msgpack.encode(Digests(digests)))
+    return DIGEST_MARK + deflate(msgspec.msgpack.encode(Digests(digests)))
 
 
 def decode_digests(content: bytes) -> list[Digest]:
     """Return the digests of a datagram; raise ValueError."""
     try:
-        return _decoder.decode(unpacked(content[len(DIGEST_MARK) :])).digests
+        return _decoder.decode(inflate(content[len(DIGEST_MARK) :])).digests
     except RecursionError as error:
         raise ValueError(str(error)) from error
--- a/jacinthfold/fleet/digests.py
+++ b/jacinthfold/fleet/digests.py
@@ -3,9 +3,9 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
 
-from jacinthfold.catalogue.host_codec import host_of
+from jacinthfold.catalogue.host_codec import host_from_document
 from jacinthfold.clock import Clock
-from jacinthfold.fleet.digest_message import Digest, HostWord
+from jacinthfold.fleet.digest_message import Digest, HostSummary
 from jacinthfold.fleet.heartbeat_message import LoadFigures
 from jacinthfold.fleet.table import HostStatus, HostTable
 from jacinthfold.placement import limit_words, limits
@@ -15,15 +15,15 @@
 
 # A data centre's first collector tells every 0.2 s; after three that did not
 # come another one's digest is taken.
-CURRENT_SECONDS = 0.7
+DIGEST_TIMEOUT_SECONDS = 0.7
 # A host whose collectors did not tell of it for this long tells all others by
 # itself: they would drop it after two seconds.
-CARRIED_SECONDS = 1.0
+INCLUDED_SECONDS = 1.0
 # A collector that hears a tenth fewer hosts than another one is cut off from
 # some of them.
-COVERED_SHARE = 0.9
+MIN_COVERAGE_RATIO = 0.9
 # Own heartbeats whose loads are remembered: two seconds of them.
-OWN_KEPT = 10
+MAX_REMEMBERED_HEARTBEATS = 10
 
 
 class OwnLoads:
@@ -32,36 +32,36 @@
     # Sums of a digest hold what this host had sent some heartbeats ago. Added
     # to what it has out now, its own requests would count twice.
 
-    __slots__ = ('_told',)
+    __slots__ = ('_sent',)
 
     def __init__(self) -> None:
         """Start with none."""
-        self._told: deque[tuple[int, Mapping[str, LoadFigures]]] = deque(
-            maxlen=OWN_KEPT
+        self._sent: deque[tuple[int, Mapping[str, LoadFigures]]] = deque(
+            maxlen=MAX_REMEMBERED_HEARTBEATS
         )
 
-    def note(self, count: int, loads: Mapping[str, LoadFigures]) -> None:
+    def record(self, count: int, loads: Mapping[str, LoadFigures]) -> None:
         """Take what a heartbeat tells."""
-        self._told.append((count, loads))
+        self._sent.append((count, loads))
 
     def at(self, count: int) -> Mapping[str, LoadFigures]:
         """Return what a heartbeat told, nothing if it is forgotten."""
-        return dict(self._told).get(count, {})
+        return dict(self._sent).get(count, {})
 
 
-class _Current:
+class _CurrentDigest:
     """Hold the digest that is gone by for a data centre."""
 
-    __slots__ = ('carried', 'digest', 'made_at', 'taken_at')
+    __slots__ = ('included', 'digest', 'made_at', 'received_at')
 
     def __init__(self, digest: Digest, now: float) -> None:
         self.digest = digest
-        self.taken_at = now
+        self.received_at = now
         self.made_at = now - digest.age_ms / 1000
-        self.carried = frozenset(
-            word.name
-            for word in digest.hosts
-            if word.age_ms < limits.REPORT_SECONDS * 1000
+        self.included = frozenset(
+            summary.name
+            for summary in digest.hosts
+            if summary.age_ms < limits.REPORT_SECONDS * 1000
         )
 
 
@@ -75,46 +75,46 @@
         self._hosts = hosts
         self._targets = targets
         self._clock = clock
-        self._current: dict[str, _Current] = {}
+        self._current: dict[str, _CurrentDigest] = {}
         self.own_loads = OwnLoads()
-        self.take_suspects: Callable[[list[SuspectWord]], None] = _take_nothing
+        self.on_suspects: Callable[[list[SuspectWord]], None] = _ignore_suspects
 
-    def take(self, digest: Digest) -> None:
+    def apply(self, digest: Digest) -> None:
         """Take a digest if it is the better one of its data centre."""
         if digest.region != self._hosts.own.region:
             return
         # Whoever made the digest: these words add up.
-        self.take_suspects(digest.suspects)
+        self.on_suspects(digest.suspects)
         now = self._clock.monotonic()
-        taken = _Current(digest, now)
+        candidate = _CurrentDigest(digest, now)
         limit_words.take_words(
-            self._targets, digest.collector, digest.limits, taken.made_at
+            self._targets, digest.collector, digest.limits, candidate.made_at
         )
         known = self._current.get(digest.data_centre)
-        if known is not None and not _is_better(taken, known, now):
+        if known is not None and not _is_better(candidate, known, now):
             return
-        self._current[digest.data_centre] = taken
-        self._note_hosts(taken)
-        before = known.carried if known else frozenset()
-        self._targets.forget_reports(taken.carried - before)
-        self._note_loads(taken)
+        self._current[digest.data_centre] = candidate
+        self._update_hosts(candidate)
+        before = known.included if known else frozenset()
+        self._targets.forget_reports(candidate.included - before)
+        self._update_loads(candidate)
 
-    def carries(self, name: str) -> bool:
+    def includes(self, name: str) -> bool:
         """Tell whether digests already hold what a host tells."""
         now = self._clock.monotonic()
         return any(
-            name in current.carried
+            name in current.included
             for current in self._current.values()
             if now - current.made_at < limits.REPORT_SECONDS
         )
 
-    def carries_own(self) -> bool:
+    def includes_own(self) -> bool:
         """Tell whether the own data centre's collectors tell of this host."""
         own = self._hosts.own
         current = self._current.get(own.data_centre)
-        if current is None or own.name not in current.carried:
+        if current is None or own.name not in current.included:
             return False
-        return self._clock.monotonic() - current.made_at < CARRIED_SECONDS
+        return self._clock.monotonic() - current.made_at < INCLUDED_SECONDS
 
     def others(self) -> list[Digest]:
         """Return the newest digests of other data centres, to pass on."""
@@ -123,23 +123,23 @@
         for name, current in self._current.items():
             age_seconds = now - current.made_at
             is_other = name != self._hosts.own.data_centre
-            if is_other and age_seconds < CARRIED_SECONDS:
+            if is_other and age_seconds < INCLUDED_SECONDS:
                 current.digest.age_ms = round(age_seconds * 1000)
                 found.append(current.digest)
         return found
 
-    def _note_hosts(self, current: _Current) -> None:
-        for place in current.digest.places:
-            self._hosts.learn(host_of(place))
-        for word in current.digest.hosts:
-            heard_at = current.made_at - word.age_ms / 1000
-            self._hosts.note_told(
-                word.name, word.incarnation, _status(word), heard_at
+    def _update_hosts(self, current: _CurrentDigest) -> None:
+        for document in current.digest.places:
+            self._hosts.add_record(host_from_document(document))
+        for summary in current.digest.hosts:
+            heard_at = current.made_at - summary.age_ms / 1000
+            self._hosts.record_report(
+                summary.name, summary.incarnation, _status(summary), heard_at
             )
 
-    def _note_loads(self, current: _Current) -> None:
+    def _update_loads(self, current: _CurrentDigest) -> None:
         digest, targets = current.digest, self._targets
-        own = self._own_part(digest.hosts)
+        own = self._own_loads_in(digest.hosts)
         loads = {
             life: _without(figures, own.get(life))
             for life, figures in digest.loads.items()
@@ -154,34 +154,43 @@
             targets.take_totals(digest.data_centre, maker, digest.read_tokens)
         targets.laws.take_sums(reporter, digest.laws, current.made_at)
 
-    def _own_part(self, words: Iterable[HostWord]) -> Mapping[str, LoadFigures]:
+    def _own_loads_in(
+        self, summaries: Iterable[HostSummary]
+    ) -> Mapping[str, LoadFigures]:
         own = self._hosts.own
-        for word in words:
-            if (word.name, word.incarnation) == (own.name, own.incarnation):
-                return self.own_loads.at(word.count)
+        for summary in summaries:
+            if (summary.name, summary.incarnation) == (
+                own.name,
+                own.incarnation,
+            ):
+                return self.own_loads.at(summary.heartbeat_number)
         return {}
 
 
-def _is_better(taken: _Current, known: _Current, now: float) -> bool:
-    one, other = taken.digest, known.digest
+def _is_better(
+    candidate: _CurrentDigest, known: _CurrentDigest, now: float
+) -> bool:
+    one, other = candidate.digest, known.digest
     if (one.collector, one.incarnation) == (other.collector, other.incarnation):
         return one.count > other.count
-    if now - known.taken_at > CURRENT_SECONDS:
+    if now - known.received_at > DIGEST_TIMEOUT_SECONDS:
         return True
     # Who hears few hosts is cut off or has just begun, whatever its rank.
-    if len(known.carried) < len(taken.carried) * COVERED_SHARE:
+    if len(known.included) < len(candidate.included) * MIN_COVERAGE_RATIO:
         return True
-    is_covering = len(taken.carried) >= len(known.carried) * COVERED_SHARE
+    is_covering = (
+        len(candidate.included) >= len(known.included) * MIN_COVERAGE_RATIO
+    )
     return is_covering and one.rank < other.rank
 
 
-def _status(word: HostWord) -> HostStatus:
+def _status(summary: HostSummary) -> HostStatus:
     return HostStatus(
-        word.state,
-        word.revision,
-        reaches_store=word.reaches_store,
-        reads_packed=word.reads_packed,
-        reads_digests=word.reads_digests,
+        summary.state,
+        summary.revision,
+        reaches_store=summary.reaches_store,
+        supports_compression=summary.supports_compression,
+        supports_digests=summary.supports_digests,
     )
 
 
@@ -196,5 +205,5 @@
     )
 
 
-def _take_nothing(_: list[SuspectWord]) -> None:
+def _ignore_suspects(_: list[SuspectWord]) -> None:
     """Take words on requests and keep none."""
--- a/jacinthfold/fleet/directory.py
+++ b/jacinthfold/fleet/directory.py
@@ -7,12 +7,12 @@
 from jacinthfold.catalogue.records import Catalogue
 from jacinthfold.fleet.table import HostTable
 
-ADDRESS_LIMIT = 64
+MAX_ADDRESSES = 64
 # One host of the nearest data centre is a single point; with two or more the
 # caller stays near, which spares traffic between data centres.
-NEAR_AT_LEAST = 2
+MIN_NEARBY_HOSTS = 2
 # Callers ask again after this. Longer answers name hosts that left for longer.
-ANSWER_SECONDS = 2
+DIRECTORY_TTL_SECONDS = 2
 
 
 class Directory:
@@ -31,34 +31,34 @@
         self, host_name: str, region: str, data_centre: str
     ) -> list[HostRecord]:
         """Return hosts for a caller, none if none is known to serve."""
-        near = self._knowing(self._hosts.serving(region))
+        near = self._reaching_store(self._hosts.serving(region))
         same = [one for one in near if one.data_centre == data_centre]
-        chosen = same if len(same) >= NEAR_AT_LEAST else near
+        chosen = same if len(same) >= MIN_NEARBY_HOSTS else near
         if not chosen:
-            chosen = self._far(host_name)
+            chosen = self._in_other_regions(host_name)
         self._random.shuffle(chosen)
-        return chosen[:ADDRESS_LIMIT]
+        return chosen[:MAX_ADDRESSES]
 
-    def _knowing(self, hosts: list[HostRecord]) -> list[HostRecord]:
+    def _reaching_store(self, hosts: list[HostRecord]) -> list[HostRecord]:
         """Return the hosts that reach the store, all if none does."""
         # A host that can't hear of keys that are taken away soon serves no
         # request with a key: callers led to it would be sent away again.
-        able = {
+        names = {
             entry.record.name
             for entry in self._hosts.others()
             if entry.status.reaches_store
         }
         if self.own_reaches_store():
-            able.add(self._hosts.own.name)
-        return [one for one in hosts if one.name in able] or hosts
+            names.add(self._hosts.own.name)
+        return [one for one in hosts if one.name in names] or hosts
 
-    def _far(self, host_name: str) -> list[HostRecord]:
+    def _in_other_regions(self, host_name: str) -> list[HostRecord]:
         # A host that has just started knows no routes, and so no homes: led
         # by it to a region where theirs may not be served, callers would stay
         # there for seconds. Another host, or this one in a moment, knows.
         if self._catalogue.routes is None:
             return []
-        allowed = self._catalogue.routes.homes_of(host_name)
+        allowed = self._catalogue.routes.common_home_regions(host_name)
         everywhere = sorted(self._hosts.regions())
         found = [
             host
--- a/jacinthfold/fleet/heartbeat_content.py
+++ b/jacinthfold/fleet/heartbeat_builder.py
@@ -3,13 +3,13 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from jacinthfold.catalogue.host_codec import document_of
+from jacinthfold.catalogue.host_codec import document_from_host
 from jacinthfold.catalogue.records import Catalogue
 from jacinthfold.clock import Clock
 from jacinthfold.fleet.heartbeat_message import (
+    CapacityFigures,
     Heartbeat,
     LoadFigures,
-    RoomFigures,
 )
 from jacinthfold.fleet.table import HostTable
 from jacinthfold.placement import limit_words
@@ -17,14 +17,16 @@
 from jacinthfold.quarantine.suspects import Suspects
 
 
-class RoomSource(Protocol):
+class CapacitySource(Protocol):
     """Say what room this region has."""
 
-    def room(self, service: str, *, is_urgent: bool) -> float | None:
+    def least_wait_seconds(
+        self, service: str, *, is_urgent: bool
+    ) -> float | None:
         """Return the least wait in seconds, None where nothing serves."""
 
 
-class HeartbeatContent:
+class HeartbeatBuilder:
     """Make the heartbeats of this host."""
 
     def __init__(
@@ -32,20 +34,20 @@
         hosts: HostTable,
         catalogue: Catalogue,
         targets: TargetTable,
-        room_source: RoomSource,
+        capacity_source: CapacitySource,
         clock: Clock,
     ) -> None:
         """Take what heartbeats tell of."""
         self._hosts = hosts
         self._catalogue = catalogue
         self._targets = targets
-        self._room_source = room_source
+        self._capacity_source = capacity_source
         self._clock = clock
-        self._own = document_of(hosts.own)
+        self._own = document_from_host(hosts.own)
         self.reaches_store: Callable[[], bool] = lambda: True
         self.suspects = Suspects(clock)
 
-    def near(self, count: int, *, is_full: bool) -> Heartbeat:
+    def for_own_region(self, count: int, *, is_full: bool) -> Heartbeat:
         """Return what the own region is told."""
         heartbeat = self._heartbeat(count)
         heartbeat.loads = self._loads()
@@ -60,12 +62,12 @@
             heartbeat.laws = self._targets.laws.own_sums()
         return heartbeat
 
-    def remote(self, count: int) -> Heartbeat:
+    def for_other_regions(self, count: int) -> Heartbeat:
         """Return what other regions are told."""
         # The waits of all targets are added up for these alone: nobody in
         # the own region goes by them.
         heartbeat = self._heartbeat(count)
-        heartbeat.rooms = self._rooms()
+        heartbeat.rooms = self._capacities()
         heartbeat.suspects = self.suspects.news(is_near=False, is_full=True)
         return heartbeat
 
@@ -93,15 +95,23 @@
             for life, load in self._targets.own_loads().items()
         }
 
-    def _rooms(self) -> dict[str, RoomFigures]:
+    def _capacities(self) -> dict[str, CapacityFigures]:
         if self._catalogue.routes is None:
             return {}
         region = self._hosts.own.region
-        rooms = {}
+        capacities = {}
         for service in self._catalogue.routes.services:
-            ordinary = self._room_source.room(service, is_urgent=False)
-            urgent = self._room_source.room(service, is_urgent=True)
+            ordinary = self._capacity_source.least_wait_seconds(
+                service, is_urgent=False
+            )
+            urgent = self._capacity_source.least_wait_seconds(
+                service, is_urgent=True
+            )
             if ordinary is not None and urgent is not None:
                 count = len(self._targets.of(service, region))
-                rooms[service] = (round(ordinary, 3), round(urgent, 3), count)
-        return rooms
+                capacities[service] = (
+                    round(ordinary, 3),
+                    round(urgent, 3),
+                    count,
+                )
+        return capacities
--- a/jacinthfold/fleet/heartbeat_message.py
+++ b/jacinthfold/fleet/heartbeat_message.py
@@ -18,11 +18,11 @@
 # Requests, unread tokens, held tokens, urgent unread tokens.
 LoadFigures = tuple[int, int, int, int]
 # Wait of ordinary and of urgent requests in seconds, number of targets.
-RoomFigures = tuple[float, float, int]
+CapacityFigures = tuple[float, float, int]
 # Age in milliseconds, and the store's revision that was known then.
-ProofWord = tuple[int, int]
+ProofReport = tuple[int, int]
 # A part of the incarnation, and the number of a message that was heard.
-Echo = tuple[int, int]
+Receipt = tuple[int, int]
 
 
 class Heartbeat(msgspec.Struct):
@@ -40,7 +40,7 @@
     # By the life of a target.
     loads: dict[str, LoadFigures]
     # By service.
-    rooms: dict[str, RoomFigures]
+    rooms: dict[str, CapacityFigures]
     # Prompt tokens sent to lives of targets since this host started.
     read_tokens: dict[str, float] = {}
     # Names of long shared parts that were sent to them in the last moments.
@@ -58,26 +58,26 @@
     # Limits that targets named to this host, by the life of a target.
     limits: dict[str, LimitWord] = {}
     # How old the knowledge of the store is, and of whom what was heard last.
-    proof: ProofWord | None = None
-    heard_beats: dict[str, Echo] = {}
-    heard_digests: dict[str, Echo] = {}
+    proof: ProofReport | None = None
+    heard_beats: dict[str, Receipt] = {}
+    heard_digests: dict[str, Receipt] = {}
 
 
 # Bytes of most heartbeats; a change here needs another mark.
-DICTIONARY = (
+COMPRESSION_DICTIONARY = (
     b'"read_tokens":{"i-"},"uses":{},"late_tokens":{},"laws":{},"state":"'
     b'starting","state":"leaving","},"state":"active","revision":,"store":'
     b'false,"loads":{"i-":[1,0,"rooms":{"":[0.0,0.0,},"packs":true}'
     b'{"host":{"name":"front-","incarnation":1,"region":"","data_centre":"",'
     b'"address":"10.","ports":['
 )
-PACKED_MARK = b'\x01'
+COMPRESSED_MARK = b'\x01'
 DIGEST_MARK = b'\x02'
-PACK_LEVEL = 6
+COMPRESSION_LEVEL = 6
 # Without a header or checksum: datagrams have one of their own.
-_RAW = -15
+_RAW_DEFLATE_WBITS = -15
 # A heartbeat is some kilobytes; more is somebody else's datagram.
-UNPACKED_LIMIT_BYTES = 1_000_000
+MAX_DECOMPRESSED_BYTES = 1_000_000
 _decoder = msgspec.json.Decoder(Heartbeat)
 
 
@@ -86,31 +86,37 @@
     return msgspec.json.encode(heartbeat)
 
 
-def pack(content: bytes) -> bytes:
+def compress_heartbeat(content: bytes) -> bytes:
     """Return an encoded heartbeat for a host that reads packed ones."""
-    return PACKED_MARK + packed(content)
+    return COMPRESSED_MARK + deflate(content)
 
 
-def packed(content: bytes) -> bytes:
+def deflate(content: bytes) -> bytes:
     """Return bytes packed with what most heartbeats hold."""
-    packer = zlib.compressobj(PACK_LEVEL, wbits=_RAW, zdict=DICTIONARY)
-    return packer.compress(content) + packer.flush()
+    compressor = zlib.compressobj(
+        COMPRESSION_LEVEL,
+        wbits=_RAW_DEFLATE_WBITS,
+        zdict=COMPRESSION_DICTIONARY,
+    )
+    return compressor.compress(content) + compressor.flush()
 
 
 def decode(content: bytes) -> Heartbeat:
     """Return a heartbeat, packed or not; raise ValueError."""
-    if content.startswith(PACKED_MARK):
-        content = unpacked(content[len(PACKED_MARK) :])
+    if content.startswith(COMPRESSED_MARK):
+        content = inflate(content[len(COMPRESSED_MARK) :])
     try:
         return _decoder.decode(content)
     except RecursionError as error:
         raise ValueError(str(error)) from error
 
 
-def unpacked(content: bytes) -> bytes:
+def inflate(content: bytes) -> bytes:
     """Return what was packed; raise ValueError."""
-    unpacker = zlib.decompressobj(wbits=_RAW, zdict=DICTIONARY)
+    decompressor = zlib.decompressobj(
+        wbits=_RAW_DEFLATE_WBITS, zdict=COMPRESSION_DICTIONARY
+    )
     try:
-        return unpacker.decompress(content, UNPACKED_LIMIT_BYTES)
+        return decompressor.decompress(content, MAX_DECOMPRESSED_BYTES)
     except zlib.error as error:
         raise ValueError(str(error)) from error
--- a/jacinthfold/fleet/heartbeats.py
+++ b/jacinthfold/fleet/heartbeats.py
@@ -11,36 +11,36 @@
 from typing import Any, cast
 
 from jacinthfold import logs
-from jacinthfold.catalogue.host_codec import host_of
+from jacinthfold.catalogue.host_codec import host_from_document
 from jacinthfold.catalogue.records import Catalogue
 from jacinthfold.clock import Clock
+from jacinthfold.fleet.aggregation import HeartbeatAggregator
 from jacinthfold.fleet.collectors import Collectors
-from jacinthfold.fleet.digest_exchange import DigestExchange, Place
+from jacinthfold.fleet.digest_exchange import DigestExchange, Endpoint
 from jacinthfold.fleet.digests import DigestView
-from jacinthfold.fleet.gathering import Gathering
-from jacinthfold.fleet.heartbeat_content import HeartbeatContent, RoomSource
+from jacinthfold.fleet.freshness_exchange import FreshnessExchange
+from jacinthfold.fleet.heartbeat_builder import CapacitySource, HeartbeatBuilder
 from jacinthfold.fleet.heartbeat_message import (
     DIGEST_MARK,
     Heartbeat,
+    compress_heartbeat,
     decode,
     encode,
-    pack,
 )
-from jacinthfold.fleet.proofs import ProofExchange
 from jacinthfold.fleet.table import HostEntry, HostState, HostTable
 from jacinthfold.placement import limit_words
 from jacinthfold.placement.regions import RegionReport, RegionView
 from jacinthfold.placement.target import Load
 from jacinthfold.placement.targets import TargetTable
 
-BEAT_SECONDS = 0.2
-BEAT_LIMIT_SECONDS = 0.4
+HEARTBEAT_INTERVAL_SECONDS = 0.2
+MAX_HEARTBEAT_INTERVAL_SECONDS = 0.4
 # Hosts of a region up to which the shortest pause is kept when each tells all.
-NEAR_HOSTS = 10
+FULL_RATE_HOSTS = 10
 # Other regions hear every third beat, and half as often from a region that
 # has collectors: bytes between regions are dear.
-REMOTE_EVERY_BEATS = 3
-COLLECTED_REMOTE_EVERY_BEATS = 6
+REMOTE_INTERVAL_HEARTBEATS = 3
+COLLECTED_REMOTE_INTERVAL_HEARTBEATS = 6
 # Hosts of another region that hear such a beat. One host's word on its region
 # is as good as another's, and told to all of them the bytes grow with the
 # square of the hosts: of a region of 22 each hears 2.6 times a second and not
@@ -48,13 +48,13 @@
 REMOTE_FANOUT = 3
 # What engines were learned to do and what they have read is told to the own
 # region every fifth beat: it changes over seconds.
-FULL_EVERY_BEATS = 5
+FULL_INTERVAL_HEARTBEATS = 5
 # Whether a region has collectors is looked at this often: it changes when many
 # hosts come or go.
-COLLECTED_CHECK_BEATS = 3
-DATAGRAM_LIMIT_BYTES = 60000
+COLLECTOR_CHECK_INTERVAL_HEARTBEATS = 3
+MAX_DATAGRAM_BYTES = 60000
 # A dead host refuses every datagram; one line in this time is enough.
-UNSENT_TOLD_SECONDS = 5.0
+SEND_ERROR_LOG_INTERVAL_SECONDS = 5.0
 
 
 class Heartbeats(asyncio.DatagramProtocol):
@@ -66,7 +66,7 @@
         catalogue: Catalogue,
         targets: TargetTable,
         regions: RegionView,
-        room_source: RoomSource,
+        capacity_source: CapacitySource,
         clock: Clock,
     ) -> None:
         """Take what heartbeats tell of and what they change."""
@@ -74,38 +74,42 @@
         self._targets = targets
         self._regions = regions
         self._clock = clock
-        self.content = HeartbeatContent(
-            hosts, catalogue, targets, room_source, clock
+        self.builder = HeartbeatBuilder(
+            hosts, catalogue, targets, capacity_source, clock
         )
         self._collectors = Collectors(hosts)
-        self._gathering = Gathering(hosts.own)
-        self._digests = DigestView(hosts, targets, clock)
-        self._digests.take_suspects = lambda words: self.content.suspects.take(
-            words, is_near=True
+        self._aggregator = HeartbeatAggregator(hosts.own)
+        self._digest_view = DigestView(hosts, targets, clock)
+        self._digest_view.on_suspects = lambda words: (
+            self.builder.suspects.take(words, is_near=True)
         )
-        self.proofs = ProofExchange(hosts.own, catalogue.freshness, clock)
-        self._exchange = DigestExchange(
+        self.freshness_exchange = FreshnessExchange(
+            hosts.own, catalogue.freshness, clock
+        )
+        self._digest_exchange = DigestExchange(
             hosts,
             self._collectors,
-            self._gathering,
-            self._digests,
-            self.proofs,
-            lambda content, place: self.send(content, place),
+            self._aggregator,
+            self._digest_view,
+            self.freshness_exchange,
+            lambda content, endpoint: self.send(content, endpoint),
             clock,
         )
-        self._exchange.suspect_news = lambda is_full: (
-            self.content.suspects.news(is_near=False, is_full=is_full)
+        self._digest_exchange.pending_suspects = lambda is_full: (
+            self.builder.suspects.news(is_near=False, is_full=is_full)
         )
         self._transport: asyncio.DatagramTransport | None = None
         self._count = 0
         self._is_collected = False
-        self._unsent_count = 0
-        self._unsent_told_at = float('-inf')
+        self._send_error_count = 0
+        self._send_error_logged_at = float('-inf')
         self._random = random.Random()
-        self.seeds: tuple[Place, ...] = ()
+        self.seeds: tuple[Endpoint, ...] = ()
         # Who takes what the same socket carries beside heartbeats, by the
         # first byte.
-        self.takers: dict[bytes, Callable[[bytes, Place], None]] = {}
+        self.datagram_handlers: dict[
+            bytes, Callable[[bytes, Endpoint], None]
+        ] = {}
 
     async def start(self) -> None:
         """Bind the socket; raise OSError when the port is taken."""
@@ -117,27 +121,30 @@
     async def run(self) -> None:
         """Send heartbeats until cancelled."""
         while True:
-            self.beat()
-            await asyncio.sleep(self._beat_seconds())
+            self.send_heartbeats()
+            await asyncio.sleep(self._interval_seconds())
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send one heartbeat to each host that is due."""
         self._count += 1
         if not self._hosts.others():
-            self._ask_seeds()
+            self._send_to_seeds()
             return
-        if self._count % COLLECTED_CHECK_BEATS == 1:
-            self._note_collected(is_collected=self._collectors.are_used())
-        self._tell_near()
-        every = REMOTE_EVERY_BEATS
+        if self._count % COLLECTOR_CHECK_INTERVAL_HEARTBEATS == 1:
+            self._update_collected(is_collected=self._collectors.are_used())
+        self._send_to_own_region()
+        every = REMOTE_INTERVAL_HEARTBEATS
         if self._is_collected:
-            every = COLLECTED_REMOTE_EVERY_BEATS
+            every = COLLECTED_REMOTE_INTERVAL_HEARTBEATS
         if self._count % every == 0:
-            self._tell(self._some_remote(), self._message(is_near=False))
+            self._send_to(
+                self._sample_remote_hosts(),
+                self._encoded_heartbeat(is_near=False),
+            )
 
-    def announce(self) -> None:
+    def broadcast(self) -> None:
         """Tell every host at once what this one is doing now."""
-        self._tell(self._hosts.others(), self._message())
+        self._send_to(self._hosts.others(), self._encoded_heartbeat())
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the socket."""
@@ -148,137 +155,146 @@
     def datagram_received(self, content: bytes, addr: Any) -> None:
         """Take a heartbeat or digests."""
         try:
-            if content[:1] in self.takers:
-                self.takers[content[:1]](content, addr)
+            if content[:1] in self.datagram_handlers:
+                self.datagram_handlers[content[:1]](content, addr)
             elif content.startswith(DIGEST_MARK):
-                self._exchange.take(content, addr[0])
+                self._digest_exchange.receive(content, addr[0])
             else:
-                self._take(decode(content))
+                self._receive(decode(content))
         except ValueError as error:
             logs.warning('heartbeat_unreadable', peer=addr, reason=repr(error))
 
     def error_received(self, exc: Exception) -> None:
         """Take that a datagram met no listener; the table shows it too."""
-        self._unsent_count += 1
+        self._send_error_count += 1
         now = self._clock.monotonic()
-        if now - self._unsent_told_at < UNSENT_TOLD_SECONDS:
+        if now - self._send_error_logged_at < SEND_ERROR_LOG_INTERVAL_SECONDS:
             return
         logs.warning(
-            'heartbeats_not_sent', count=self._unsent_count, reason=repr(exc)
+            'heartbeats_not_sent',
+            count=self._send_error_count,
+            reason=repr(exc),
         )
-        self._unsent_told_at = now
-        self._unsent_count = 0
+        self._send_error_logged_at = now
+        self._send_error_count = 0
 
-    def send(self, content: bytes, place: Place) -> None:
+    def send(self, content: bytes, endpoint: Endpoint) -> None:
         """Send a datagram to another host."""
-        if self._transport is not None and len(content) < DATAGRAM_LIMIT_BYTES:
-            self._transport.sendto(content, place)
+        if self._transport is not None and len(content) < MAX_DATAGRAM_BYTES:
+            self._transport.sendto(content, endpoint)
 
-    def _beat_seconds(self) -> float:
-        if self._is_collected and self._digests.carries_own():
-            return BEAT_SECONDS
+    def _interval_seconds(self) -> float:
+        if self._is_collected and self._digest_view.includes_own():
+            return HEARTBEAT_INTERVAL_SECONDS
         # Where each tells all, what a host sends and reads grows with the
         # hosts of its region; at twice as many it speaks half as often, up to
         # a limit at which loads are still heard while the prompts they speak
         # of are being read.
         own = self._hosts.own
         near = len(self._hosts.names_in(own.region))
-        return min(BEAT_LIMIT_SECONDS, BEAT_SECONDS * max(1, near / NEAR_HOSTS))
+        return min(
+            MAX_HEARTBEAT_INTERVAL_SECONDS,
+            HEARTBEAT_INTERVAL_SECONDS * max(1, near / FULL_RATE_HOSTS),
+        )
 
-    def _note_collected(self, *, is_collected: bool) -> None:
+    def _update_collected(self, *, is_collected: bool) -> None:
         if is_collected is not self._is_collected:
             self._is_collected = is_collected
             own = self._hosts.own.data_centre
             logs.event(
                 'heartbeats_collected',
                 is_collected=is_collected,
-                collectors=','.join(self._collectors.of(own)),
+                collectors=','.join(self._collectors.select(own)),
             )
 
-    def _tell_near(self) -> None:
-        message = self._near_heartbeat()
-        self._gathering.take(message, self._clock.monotonic())
+    def _send_to_own_region(self) -> None:
+        message = self._own_region_heartbeat()
+        self._aggregator.add(message, self._clock.monotonic())
         content = encode(message)
         if not self._is_collected:
-            self._tell(self._hosts.near(), content)
+            self._send_to(self._hosts.others_in_own_region(), content)
             return
-        names = self._collectors.of(self._hosts.own.data_centre)
+        names = self._collectors.select(self._hosts.own.data_centre)
         if self._hosts.own.name in names:
-            self._exchange.tell(names.index(self._hosts.own.name))
+            self._digest_exchange.send_digest(names.index(self._hosts.own.name))
         # Who is not told of by a collector is dropped by all after two
         # seconds: both may have died, or packets to them get lost.
-        if self._digests.carries_own():
-            self._tell(self._hosts.entries(names), content)
+        if self._digest_view.includes_own():
+            self._send_to(self._hosts.entries(names), content)
         else:
-            self._tell(self._hosts.near(), content)
+            self._send_to(self._hosts.others_in_own_region(), content)
 
-    def _some_remote(self) -> list[HostEntry]:
+    def _sample_remote_hosts(self) -> list[HostEntry]:
         by_region: dict[str, list[HostEntry]] = {}
         for entry in self._hosts.others():
             by_region.setdefault(entry.record.region, []).append(entry)
         by_region.pop(self._hosts.own.region, None)
-        some: list[HostEntry] = []
+        sampled: list[HostEntry] = []
         for entries in by_region.values():
             count = min(REMOTE_FANOUT, len(entries))
-            some.extend(self._random.sample(entries, count))
-        return some
+            sampled.extend(self._random.sample(entries, count))
+        return sampled
 
-    def _ask_seeds(self) -> None:
+    def _send_to_seeds(self) -> None:
         # Ports are the same on all hosts of a deployment.
         own = self._hosts.own
-        content = self._message()
+        content = self._encoded_heartbeat()
         for address, _ in self.seeds:
             if address != own.address:
                 self.send(content, (address, own.relay_port))
 
-    def _tell(self, entries: list[HostEntry], content: bytes) -> None:
+    def _send_to(self, entries: list[HostEntry], content: bytes) -> None:
         if not entries:
             return
-        packed = pack(content)
+        compressed = compress_heartbeat(content)
         for entry in entries:
-            place = (entry.record.address, entry.record.relay_port)
-            self.send(packed if entry.reads_packed else content, place)
+            endpoint = (entry.record.address, entry.record.relay_port)
+            self.send(
+                compressed if entry.supports_compression else content, endpoint
+            )
 
-    def _message(self, *, is_near: bool = True) -> bytes:
+    def _encoded_heartbeat(self, *, is_near: bool = True) -> bytes:
         if is_near:
-            return encode(self._near_heartbeat())
-        return encode(self.content.remote(self._count))
+            return encode(self._own_region_heartbeat())
+        return encode(self.builder.for_other_regions(self._count))
 
-    def _near_heartbeat(self) -> Heartbeat:
-        is_full = self._count % FULL_EVERY_BEATS == 0
-        heartbeat = self.content.near(self._count, is_full=is_full)
-        self._digests.own_loads.note(self._count, heartbeat.loads)
-        self.proofs.fill_heartbeat(heartbeat)
+    def _own_region_heartbeat(self) -> Heartbeat:
+        is_full = self._count % FULL_INTERVAL_HEARTBEATS == 0
+        heartbeat = self.builder.for_own_region(self._count, is_full=is_full)
+        self._digest_view.own_loads.record(self._count, heartbeat.loads)
+        self.freshness_exchange.fill_heartbeat(heartbeat)
         return heartbeat
 
-    def _take(self, heartbeat: Heartbeat) -> None:
-        host = host_of(heartbeat.host)
+    def _receive(self, heartbeat: Heartbeat) -> None:
+        host = host_from_document(heartbeat.host)
         if host.name == self._hosts.own.name:
             return
-        self._hosts.note_heartbeat(
+        self._hosts.record_heartbeat(
             host,
             heartbeat.state,
             heartbeat.revision,
             reaches_store=heartbeat.store,
-            reads_packed=heartbeat.packs,
-            reads_digests=heartbeat.digests,
+            supports_compression=heartbeat.packs,
+            supports_digests=heartbeat.digests,
         )
         is_near = host.region == self._hosts.own.region
-        self.content.suspects.take(heartbeat.suspects, is_near=is_near)
+        self.builder.suspects.take(heartbeat.suspects, is_near=is_near)
         now = self._clock.monotonic()
         if heartbeat.state is HostState.ACTIVE:
-            self._regions.take(host.name, _report(host.region, heartbeat, now))
+            self._regions.take(
+                host.name, _region_report(host.region, heartbeat, now)
+            )
         if host.data_centre == self._hosts.own.data_centre:
-            self._gathering.take(heartbeat, now)
+            self._aggregator.add(heartbeat, now)
         if is_near:
-            self.proofs.take_heartbeat(heartbeat)
+            self.freshness_exchange.receive_heartbeat(heartbeat)
             limit_words.take_words(
                 self._targets, host.name, heartbeat.limits, now
             )
-            self._take_loads(host.name, heartbeat, now)
+            self._apply_loads(host.name, heartbeat, now)
 
-    def _take_loads(self, name: str, heartbeat: Heartbeat, now: float) -> None:
-        if self._digests.carries(name):
+    def _apply_loads(self, name: str, heartbeat: Heartbeat, now: float) -> None:
+        if self._digest_view.includes(name):
             return
         loads = {
             life: Load(*figures) for life, figures in heartbeat.loads.items()
@@ -288,7 +304,9 @@
         self._targets.laws.take_sums(name, heartbeat.laws, now)
 
 
-def _report(region: str, heartbeat: Heartbeat, now: float) -> RegionReport:
+def _region_report(
+    region: str, heartbeat: Heartbeat, now: float
+) -> RegionReport:
     rooms = heartbeat.rooms
     waits = {service: (room[0], room[1]) for service, room in rooms.items()}
     counts = {service: room[2] for service, room in rooms.items()}
--- a/jacinthfold/fleet/snapshots.py
+++ b/jacinthfold/fleet/snapshots.py
@@ -19,19 +19,19 @@
 SNAPSHOT_PATH = '/snapshot'
 # Another host may be ahead for as long as changes are gathered there; longer
 # means that the own watch is silent or cut.
-BEHIND_SECONDS = 0.9
+MAX_BEHIND_SECONDS = 0.9
 # Each of 195 hosts asked three times a second; by a profile of a calm one that
 # took 35 of the 650 ms that it was busy. With half a second and the watch's own
 # a change is known after some 1.5 s (worked out), within the least bound of 3.
-CHECK_SECONDS = 0.5
-CALL_SECONDS = 1.5
+CHECK_INTERVAL_SECONDS = 0.5
+CALL_TIMEOUT_SECONDS = 1.5
 # The fastest level: 0.5 MB of routes in 3 ms, to 6 hundredths of its bytes.
-PACK_LEVEL = 1
+COMPRESSION_LEVEL = 1
 
-Place = tuple[str, int]
+Endpoint = tuple[str, int]
 
 
-class Snapshots:
+class SnapshotFetcher:
     """Catch up with hosts that know more."""
 
     def __init__(
@@ -46,7 +46,7 @@
         self._catalogue = catalogue
         self._caller = caller
         self._clock = clock
-        self.seeds: tuple[Place, ...] = ()
+        self.seeds: tuple[Endpoint, ...] = ()
         # Whether this host hears of changes from the store by itself.
         self.watches: Callable[[], bool] = lambda: True
 
@@ -54,43 +54,45 @@
         """Catch up until cancelled."""
         behind_since: float | None = None
         while True:
-            await asyncio.sleep(CHECK_SECONDS)
-            ahead = self._places_ahead()
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
+            ahead = self._endpoints_ahead()
             if not ahead:
                 behind_since = None
                 continue
             now = self._clock.monotonic()
             behind_since = now if behind_since is None else behind_since
-            is_due = now - behind_since > BEHIND_SECONDS
+            is_due = now - behind_since > MAX_BEHIND_SECONDS
             if is_due or self._catalogue.routes is None or not self.watches():
                 await self._catch_up(ahead)
 
-    def _places_ahead(self) -> list[Place]:
+    def _endpoints_ahead(self) -> list[Endpoint]:
         own_region = self._hosts.own.region
         ahead = self._hosts.ahead_of(self._catalogue.revision)
         # Any order among the near ones: asked by the highest revision, one
         # host would get the calls of all that are behind.
         random.shuffle(ahead)
         ahead.sort(key=lambda entry: entry.record.region != own_region)
-        places = [
+        endpoints = [
             (entry.record.address, entry.record.control_port) for entry in ahead
         ]
-        if places or self._catalogue.routes is not None:
-            return places[:2]
+        if endpoints or self._catalogue.routes is not None:
+            return endpoints[:2]
         own = (self._hosts.own.address, self._hosts.own.control_port)
-        return [place for place in self.seeds if place != own]
+        return [endpoint for endpoint in self.seeds if endpoint != own]
 
-    async def _catch_up(self, places: list[Place]) -> None:
-        left = list(places)
+    async def _catch_up(self, endpoints: list[Endpoint]) -> None:
+        remaining = list(endpoints)
         is_done = False
-        while left and not is_done:
-            is_done = await self._take_from(left.pop(0))
+        while remaining and not is_done:
+            is_done = await self._fetch_from(remaining.pop(0))
 
-    async def _take_from(self, place: Place) -> bool:
-        peer = f'{place[0]}:{place[1]}'
+    async def _fetch_from(self, endpoint: Endpoint) -> bool:
+        peer = f'{endpoint[0]}:{endpoint[1]}'
         try:
             path = f'{SNAPSHOT_PATH}?since={self._catalogue.revision}&packed=1'
-            content = await self._caller.get(place, path, CALL_SECONDS)
+            content = await self._caller.get(
+                endpoint, path, CALL_TIMEOUT_SECONDS
+            )
             snapshot = decode_snapshot(content)
         except (ProxyError, ValueError, KeyError) as error:
             logs.warning('snapshot_failed', peer=peer, reason=repr(error))
@@ -140,7 +142,7 @@
     return json.dumps(document, separators=(',', ':')).encode()
 
 
-class PackedSnapshots:
+class CompressedSnapshots:
     """Pack what hosts ask for, once for all that ask alike."""
 
     # A configuration of 1,300 routes is 0.5 MB. Asked for by fourteen hosts at
@@ -148,30 +150,30 @@
     # and hosts went by the earlier one for over five seconds. Packed it has a
     # twentieth of the bytes.
 
-    __slots__ = ('_catalogue', '_packed', '_revision')
+    __slots__ = ('_catalogue', '_cache', '_revision')
 
     def __init__(self, catalogue: Catalogue) -> None:
         """Take what is told."""
         self._catalogue = catalogue
         self._revision = -1
-        self._packed: dict[int, bytes] = {}
+        self._cache: dict[int, bytes] = {}
 
     def since(self, revision: int) -> bytes:
         """Return what changed after a revision, or all records."""
         if self._revision != self._catalogue.revision:
             self._revision = self._catalogue.revision
-            self._packed.clear()
-        if revision not in self._packed:
+            self._cache.clear()
+        if revision not in self._cache:
             content = encode_snapshot(self._catalogue, revision)
-            self._packed[revision] = zlib.compress(content, PACK_LEVEL)
-        return self._packed[revision]
+            self._cache[revision] = zlib.compress(content, COMPRESSION_LEVEL)
+        return self._cache[revision]
 
 
 def decode_snapshot(content: bytes) -> Snapshot:
     """Return a snapshot, packed or not; raise ValueError or KeyError."""
     # Hosts of the version before answer without packing.
     if not content.startswith(b'{'):
-        content = _unpacked(content)
+        content = _decompressed(content)
     document: dict[str, Any] = json.loads(content)
     records = [
         Record(key, revision, _decoded(encoded))
@@ -180,19 +182,19 @@
     return Snapshot(records, document['revision'], is_whole=document['whole'])
 
 
-class SnapshotCall:
+class SnapshotQuery:
     """Hold what another host asks for."""
 
-    __slots__ = ('is_packed', 'since')
+    __slots__ = ('accepts_compressed', 'since')
 
     def __init__(self, target: str) -> None:
         """Take a call's target; raise ValueError."""
         query = parse_qs(urlsplit(target).query)
         self.since = int(query.get('since', ['0'])[0])
-        self.is_packed = 'packed' in query
+        self.accepts_compressed = 'packed' in query
 
 
-def _unpacked(content: bytes) -> bytes:
+def _decompressed(content: bytes) -> bytes:
     try:
         return zlib.decompress(content)
     except zlib.error as error:
--- a/jacinthfold/fleet/table.py
+++ b/jacinthfold/fleet/table.py
@@ -9,12 +9,12 @@
 
 # Heartbeats come every 200 ms in a region and every 400 ms across: five lost
 # in a row are no chance on links that lose 3 in 100.
-SILENCE_SECONDS = 2.0
+HOST_TIMEOUT_SECONDS = 2.0
 # A host that fell silent is dropped after this; until then its name still
 # counts for what is split among hosts.
-FORGET_SECONDS = 30.0
+EXPIRY_SECONDS = 30.0
 # How often that is looked at.
-FORGET_CHECK_SECONDS = 1.0
+EXPIRY_CHECK_INTERVAL_SECONDS = 1.0
 
 
 class HostState(Enum):
@@ -30,8 +30,8 @@
 
     __slots__ = (
         'reaches_store',
-        'reads_digests',
-        'reads_packed',
+        'supports_digests',
+        'supports_compression',
         'revision',
         'state',
     )
@@ -42,15 +42,15 @@
         revision: int = 0,
         *,
         reaches_store: bool = True,
-        reads_packed: bool = False,
-        reads_digests: bool = False,
+        supports_compression: bool = False,
+        supports_digests: bool = False,
     ) -> None:
         """Take its state, the store's revision it knows, what it can do."""
         self.state = state
         self.revision = revision
         self.reaches_store = reaches_store
-        self.reads_packed = reads_packed
-        self.reads_digests = reads_digests
+        self.supports_compression = supports_compression
+        self.supports_digests = supports_digests
 
 
 class HostEntry:
@@ -71,9 +71,9 @@
         return self.status.state
 
     @property
-    def reads_packed(self) -> bool:
+    def supports_compression(self) -> bool:
         """Tell whether the host reads packed heartbeats."""
-        return self.status.reads_packed
+        return self.status.supports_compression
 
 
 class HostTable:
@@ -85,7 +85,7 @@
         self.own_state = HostState.STARTING
         self._clock = clock
         self._entries: dict[str, HostEntry] = {}
-        self._forgot_at = clock.monotonic()
+        self._expiry_checked_at = clock.monotonic()
 
     def register(self, record: HostRecord | None, name: str) -> None:
         """Take a host's record from the store, or that it is gone."""
@@ -96,39 +96,39 @@
             if entry is not None:
                 entry.is_registered = False
             return
-        self._enter(record).is_registered = True
+        self._upsert(record).is_registered = True
 
-    def note_heartbeat(
+    def record_heartbeat(
         self,
         record: HostRecord,
         state: HostState,
         revision: int,
         *,
         reaches_store: bool = True,
-        reads_packed: bool = False,
-        reads_digests: bool = False,
+        supports_compression: bool = False,
+        supports_digests: bool = False,
     ) -> None:
         """Take a heartbeat; one of an earlier incarnation changes nothing."""
         if record.name == self.own.name:
             return
-        entry = self._enter(record)
+        entry = self._upsert(record)
         if entry.record.incarnation > record.incarnation:
             return
         status = HostStatus(
             state,
             revision,
             reaches_store=reaches_store,
-            reads_packed=reads_packed,
-            reads_digests=reads_digests,
+            supports_compression=supports_compression,
+            supports_digests=supports_digests,
         )
-        self._note(entry, status, self._clock.monotonic())
+        self._update(entry, status, self._clock.monotonic())
 
-    def learn(self, record: HostRecord) -> None:
+    def add_record(self, record: HostRecord) -> None:
         """Take how a host is reached, of which nothing was heard directly."""
         if record.name != self.own.name:
-            self._enter(record)
+            self._upsert(record)
 
-    def note_told(
+    def record_report(
         self,
         name: str,
         incarnation: int,
@@ -140,22 +140,22 @@
         if entry is None or entry.record.incarnation != incarnation:
             return
         now = self._clock.monotonic()
-        if heard_at <= entry.heard_at or now - heard_at >= SILENCE_SECONDS:
+        if heard_at <= entry.heard_at or now - heard_at >= HOST_TIMEOUT_SECONDS:
             return
-        is_live = now - entry.heard_at < SILENCE_SECONDS
+        is_live = now - entry.heard_at < HOST_TIMEOUT_SECONDS
         if is_live and entry.status.state is status.state:
             # Nearly always: 65 hosts are told of five times a second.
             entry.status = status
             entry.heard_at = heard_at
         else:
-            self._note(entry, status, heard_at)
+            self._update(entry, status, heard_at)
 
     def others(self) -> list[HostEntry]:
         """Return all other hosts that may be alive."""
         now = self._clock.monotonic()
-        if now - self._forgot_at > FORGET_CHECK_SECONDS:
-            self._forgot_at = now
-            self._forget(now)
+        if now - self._expiry_checked_at > EXPIRY_CHECK_INTERVAL_SECONDS:
+            self._expiry_checked_at = now
+            self._expire(now)
         return list(self._entries.values())
 
     def serving(self, region: str) -> list[HostRecord]:
@@ -193,7 +193,7 @@
             name for name, entry in self._entries.items() if entry.is_registered
         ]
 
-    def place_of(self, name: str) -> tuple[str, int] | None:
+    def endpoint_of(self, name: str) -> tuple[str, int] | None:
         """Return where a host takes datagrams, None where it isn't known."""
         entry = self._entries.get(name)
         if entry is None:
@@ -236,15 +236,15 @@
         found = [self._entries.get(name) for name in names]
         return [entry for entry in found if entry is not None]
 
-    def near(self) -> list[HostEntry]:
+    def others_in_own_region(self) -> list[HostEntry]:
         """Return the other hosts of the own region that may be alive."""
         region = self.own.region
         return [one for one in self.others() if one.record.region == region]
 
-    def all_live_read_digests(self) -> bool:
+    def all_live_support_digests(self) -> bool:
         """Tell whether every live host of the region reads digests."""
         return all(
-            entry.status.reads_digests
+            entry.status.supports_digests
             for entry in self._entries.values()
             if entry.record.region == self.own.region and self._is_live(entry)
         )
@@ -257,7 +257,7 @@
             if self._is_live(entry) and entry.status.revision > revision
         ]
 
-    def _enter(self, record: HostRecord) -> HostEntry:
+    def _upsert(self, record: HostRecord) -> HostEntry:
         entry = self._entries.get(record.name)
         if entry is None:
             entry = HostEntry(record)
@@ -267,13 +267,13 @@
             entry.status = HostStatus(HostState.STARTING)
         return entry
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         for name, entry in list(self._entries.items()):
-            is_old = now - entry.heard_at > FORGET_SECONDS
-            if is_old and not entry.is_registered:
+            is_expired = now - entry.heard_at > EXPIRY_SECONDS
+            if is_expired and not entry.is_registered:
                 self._entries.pop(name)
 
-    def _note(
+    def _update(
         self, entry: HostEntry, status: HostStatus, heard_at: float
     ) -> None:
         was_live = self._is_live(entry)
@@ -296,4 +296,4 @@
         entry.heard_at = heard_at
 
     def _is_live(self, entry: HostEntry) -> bool:
-        return self._clock.monotonic() - entry.heard_at < SILENCE_SECONDS
+        return self._clock.monotonic() - entry.heard_at < HOST_TIMEOUT_SECONDS
--- a/jacinthfold/fleet/watchers.py
+++ b/jacinthfold/fleet/watchers.py
@@ -10,10 +10,10 @@
 
 # Hosts of a region up to which each watches for itself. A watch ends at most
 # twice a second: 20 of the 2,000 reads a second that the smallest store takes.
-ALL_WATCH_HOSTS = 10
+MIN_HOSTS_FOR_WATCHERS = 10
 # One watch may hang for five seconds before its host notices; a second one
 # covers for it within the time that changes are allowed.
-WATCHERS = 2
+WATCHERS_PER_DATA_CENTRE = 2
 
 
 class Watchers:
@@ -25,23 +25,27 @@
 
     def own_watches(self) -> bool:
         """Tell whether this host is to watch now."""
-        if self._all_watch():
+        if self._should_all_watch():
             return True
-        return self._hosts.own.name in self._order()[:WATCHERS]
+        return (
+            self._hosts.own.name
+            in self._ranked_candidates()[:WATCHERS_PER_DATA_CENTRE]
+        )
 
-    def own_covers(self) -> bool:
+    def own_is_standby(self) -> bool:
         """Tell whether the own host watches in case the first one stops."""
         return (
-            not self._all_watch() and self._order()[0] != self._hosts.own.name
+            not self._should_all_watch()
+            and self._ranked_candidates()[0] != self._hosts.own.name
         )
 
-    def _all_watch(self) -> bool:
+    def _should_all_watch(self) -> bool:
         near = self._hosts.names_in(self._hosts.own.region)
-        return len(near) < ALL_WATCH_HOSTS
+        return len(near) < MIN_HOSTS_FOR_WATCHERS
 
-    def _order(self) -> list[str]:
+    def _ranked_candidates(self) -> list[str]:
         # Only hosts that are heard and reach the store can watch for others:
         # when they fall silent or lose it, the next in order take over.
         own = self._hosts.own
-        able = self._hosts.reaching_store(own.data_centre)
-        return rank(own.data_centre, {own.name, *able})
+        candidates = self._hosts.reaching_store(own.data_centre)
+        return rank(own.data_centre, {own.name, *candidates})
--- a/jacinthfold/gateway/handlers.py
+++ b/jacinthfold/gateway/handlers.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 from jacinthfold.catalogue.records import Catalogue
-from jacinthfold.fleet.directory import ANSWER_SECONDS, Directory
+from jacinthfold.fleet.directory import DIRECTORY_TTL_SECONDS, Directory
 from jacinthfold.fleet.snapshots import (
     SNAPSHOT_PATH,
-    PackedSnapshots,
-    SnapshotCall,
+    CompressedSnapshots,
+    SnapshotQuery,
     encode_snapshot,
 )
 from jacinthfold.gateway.adapter import HostCalls
@@ -60,7 +60,7 @@
         if not hosts:
             await answer.whole(HTTPStatus.SERVICE_UNAVAILABLE, [], b'')
             return
-        body = self._calls.write_directory_answer(hosts, ANSWER_SECONDS)
+        body = self._calls.write_directory_answer(hosts, DIRECTORY_TTL_SECONDS)
         await answer.whole(HTTPStatus.OK, JSON_HEADERS, body)
 
 
@@ -72,7 +72,7 @@
     ) -> None:
         """Take what is told."""
         self._catalogue = catalogue
-        self._packed = PackedSnapshots(catalogue)
+        self._packed = CompressedSnapshots(catalogue)
         self._dump = dump
 
     async def handle(self, request: RawRequest, answer: CallerAnswer) -> None:
@@ -81,7 +81,7 @@
         path = target.partition('?')[0]
         if path == SNAPSHOT_PATH:
             try:
-                call = SnapshotCall(target)
+                call = SnapshotQuery(target)
             except ValueError:
                 await answer.whole(HTTPStatus.BAD_REQUEST, [], b'')
                 return
@@ -93,8 +93,8 @@
             return
         await answer.whole(HTTPStatus.OK, JSON_HEADERS, body)
 
-    def _snapshot(self, call: SnapshotCall) -> bytes:
-        if call.is_packed:
+    def _snapshot(self, call: SnapshotQuery) -> bytes:
+        if call.accepts_compressed:
             return self._packed.since(call.since)
         return encode_snapshot(self._catalogue, call.since)
 
--- a/jacinthfold/gateway/knowledge.py
+++ b/jacinthfold/gateway/knowledge.py
@@ -16,7 +16,7 @@
 from jacinthfold.catalogue.records import Catalogue, Record
 from jacinthfold.clock import Clock
 from jacinthfold.fleet.heartbeats import Heartbeats
-from jacinthfold.fleet.snapshots import Snapshots
+from jacinthfold.fleet.snapshots import SnapshotFetcher
 from jacinthfold.fleet.table import HostState, HostTable
 from jacinthfold.fleet.watchers import Watchers
 from jacinthfold.gateway.adapter import Adapter
@@ -81,12 +81,14 @@
             self.placer,
             clock,
         )
-        self.heartbeats.content.reaches_store = self.reaches_store
+        self.heartbeats.builder.reaches_store = self.reaches_store
         self.organisations.join(self.follower, self.heartbeats)
-        self.snapshots = Snapshots(self.hosts, self.catalogue, caller, clock)
+        self.snapshots = SnapshotFetcher(
+            self.hosts, self.catalogue, caller, clock
+        )
         watchers = Watchers(self.hosts)
         self.follower.watches = watchers.own_watches
-        self.follower.covers = watchers.own_covers
+        self.follower.is_standby = watchers.own_is_standby
         self.snapshots.watches = watchers.own_watches
         retries = settings.retries
         self.budgets = RetryBudgets(
@@ -96,7 +98,7 @@
         self.quarantine.key_maker.may_make = lambda: (
             self.catalogue.routes is not None and watchers.own_watches()
         )
-        self.heartbeats.content.suspects = self.quarantine.suspects
+        self.heartbeats.builder.suspects = self.quarantine.suspects
         self.use(settings)
 
     def use(self, settings: GatewaySettings) -> None:
@@ -230,7 +232,7 @@
             return
         self.hosts.own_state = HostState.ACTIVE
         # Not to all: of 195 hosts that start together each would hear 194.
-        self.heartbeats.beat()
+        self.heartbeats.send_heartbeats()
         logs.event('host_ready', revision=self.catalogue.revision)
 
     def _follow_hosts_at_times(self) -> None:
--- a/jacinthfold/gateway/node.py
+++ b/jacinthfold/gateway/node.py
@@ -211,7 +211,7 @@
             'host_leaving', in_flight=self._in_service(), grace_seconds=grace
         )
         known.hosts.own_state = HostState.LEAVING
-        known.heartbeats.announce()
+        known.heartbeats.broadcast()
         self._callers.is_leaving = True
         self._relay.is_leaving = True
         self._begin(known.registration.leave())
--- a/jacinthfold/gateway/organisations.py
+++ b/jacinthfold/gateway/organisations.py
@@ -1,9 +1,9 @@
 """Put together what keeps organisations to their keys and caps."""
 
 from jacinthfold.catalogue.follower import Follower
+from jacinthfold.catalogue.freshness_checker import FreshnessChecker
 from jacinthfold.catalogue.metadata import MetadataStore
 from jacinthfold.catalogue.model import RouteTable
-from jacinthfold.catalogue.prover import Prover
 from jacinthfold.catalogue.records import Catalogue
 from jacinthfold.clock import Clock
 from jacinthfold.fleet.heartbeats import Heartbeats
@@ -37,13 +37,13 @@
         self.key_gate = KeyGate(catalogue, bound_seconds)
         window = Window(found.window_seconds, found.excess_ratio, found.slack)
         self.quota = QuotaOffice(hosts, store, window, clock)
-        self.prover = Prover(store, catalogue, clock)
+        self.prover = FreshnessChecker(store, catalogue, clock)
         self._heartbeats: Heartbeats | None = None
 
     def join(self, follower: Follower, heartbeats: Heartbeats) -> None:
         """Take who watches the store, and whose socket carries messages."""
         self.prover.watches = lambda: follower.watches()
-        heartbeats.takers[QUOTA_MARK] = self.quota.take
+        heartbeats.datagram_handlers[QUOTA_MARK] = self.quota.take
         self.quota.post.send = heartbeats.send
         self._heartbeats = heartbeats
 
@@ -54,7 +54,7 @@
         is_needed = bool(len(table.organisations)) and self.key_gate.is_bounded
         self.prover.is_needed = is_needed
         if self._heartbeats is not None:
-            self._heartbeats.proofs.is_told = is_needed
+            self._heartbeats.freshness_exchange.is_enabled = is_needed
 
     def admission(
         self, quarantine: Quarantine, metrics: ProxyMetrics
--- a/jacinthfold/placement/choice.py
+++ b/jacinthfold/placement/choice.py
@@ -89,9 +89,11 @@
         shared = request.facts.shared_chain
         if shared and shared[-1].tokens >= limits.COPY_AT_LEAST_TOKENS:
             uses = self._targets.recent_uses
-            uses.note(target.record.life, shared[-1].name, now)
+            uses.note(target.record.incarnation_id, shared[-1].name, now)
 
-    def room(self, service: str, *, is_urgent: bool) -> float | None:
+    def least_wait_seconds(
+        self, service: str, *, is_urgent: bool
+    ) -> float | None:
         """Return the least wait for a service here, None with no target."""
         now = self._clock.monotonic()
         waits = [
@@ -165,7 +167,7 @@
         if not keepers or keepers[0] == self._region:
             return None
         found = self._regions.at(keepers[0], request, tokens)
-        limit = request.route.aim_seconds * limits.KEEP_SHARE
+        limit = request.route.latency_objective_seconds * limits.KEEP_SHARE
         if found is None or found.seconds > limit - (now - request.received_at):
             return None
         return found
@@ -188,7 +190,7 @@
         if is_failing or not request.facts.parts:
             return False
         elapsed = now - request.received_at
-        aim = request.route.aim_seconds
+        aim = request.route.latency_objective_seconds
         slowness = max(1.0, estimate.target.slowness)
         return estimate.seconds * slowness < aim * limits.KEEP_SHARE - elapsed
 
@@ -221,7 +223,9 @@
             # end: held to the aim, it would be given up half delivered.
             return request.deadline - now
         elapsed = now - request.received_at
-        return request.route.aim_seconds * limits.AIM_SHARE - elapsed
+        return (
+            request.route.latency_objective_seconds * limits.AIM_SHARE - elapsed
+        )
 
     def _best_elsewhere(
         self, request: Request, tried_regions: Collection[str]
@@ -242,7 +246,7 @@
         least = min(waits)
         if self._is_worth_waiting(request, least):
             return self._nearest(request, best, remote)
-        half_aim = request.route.aim_seconds / 2
+        half_aim = request.route.latency_objective_seconds / 2
         after_seconds = self._return_seconds(least - half_aim)
         return Refuse('late', after_seconds, best, remote)
 
@@ -255,7 +259,7 @@
 
     def _is_worth_waiting(self, request: Request, seconds: float) -> bool:
         """Tell whether a request is served although it will be late."""
-        aim = request.route.aim_seconds
+        aim = request.route.latency_objective_seconds
         if not self._targets.service(request.service_name).is_engine:
             return seconds < aim * PLAIN_LATE_AIMS
         # A large prompt takes most of its aim by itself: however empty the
--- a/jacinthfold/placement/estimates.py
+++ b/jacinthfold/placement/estimates.py
@@ -98,7 +98,7 @@
         wait = self.wait(target, now, is_urgent=request.is_urgent)
         if not service.is_engine:
             return Estimate(target, wait, target.seconds_per_call)
-        kept = target.kept.tokens(request.facts.chain, service.memory_tokens)
+        kept = target.kept.tokens(request.facts.chain, service.kv_cache_tokens)
         return self._reading(request, target, wait, kept)
 
     def keepers(
@@ -118,7 +118,7 @@
         seen: set[tuple[int, str]] = set()
         found = []
         for target in targets:
-            kept = target.kept.tokens(shared, service.memory_tokens)
+            kept = target.kept.tokens(shared, service.kv_cache_tokens)
             kind = (kept, target.record.data_centre)
             if kept >= limits.COPY_AT_LEAST_TOKENS and kind not in seen:
                 seen.add(kind)
@@ -164,7 +164,7 @@
         law = self.law(service.name)
         seconds = running_seconds + law.reading_seconds(ahead)
         seconds += law.slot_seconds(load.requests, slots)
-        if load.held_tokens > service.memory_tokens * limits.MEMORY_SHARE:
+        if load.held_tokens > service.kv_cache_tokens * limits.MEMORY_SHARE:
             seconds += limits.FULL_SECONDS
         slowness = max(1.0, min(target.slowness, limits.SLOWNESS_COUNTED))
         return Wait(seconds * slowness, ahead, running_seconds)
--- a/jacinthfold/placement/limit_words.py
+++ b/jacinthfold/placement/limit_words.py
@@ -15,7 +15,7 @@
     for target in targets.all():
         word = target.pushback.limit.own_word(now)
         if word is not None:
-            words[target.record.life] = word
+            words[target.record.incarnation_id] = word
     return words
 
 
--- a/jacinthfold/placement/target.py
+++ b/jacinthfold/placement/target.py
@@ -98,7 +98,7 @@
     @property
     def place(self) -> tuple[str, int, str]:
         """Return address, port and life, under which connections are kept."""
-        return (*self.record.address, self.record.life)
+        return (*self.record.address, self.record.incarnation_id)
 
     @property
     def last_resort_until(self) -> float | None:
--- a/jacinthfold/placement/targets.py
+++ b/jacinthfold/placement/targets.py
@@ -128,7 +128,9 @@
         ]
         for target in gone:
             self._targets.pop(target.record.instance)
-            self._kept_pushback.keep(target.record.life, target.pushback)
+            self._kept_pushback.keep(
+                target.record.incarnation_id, target.pushback
+            )
         if gone:
             self._index()
         gone.extend(self._ended)
@@ -171,7 +173,7 @@
     def own_read_tokens(self) -> dict[str, float]:
         """Return what lives of targets have read for this host."""
         return {
-            target.record.life: round(target.own_read_tokens)
+            target.record.incarnation_id: round(target.own_read_tokens)
             for target in self._targets.values()
             if target.own_read_tokens
         }
@@ -199,7 +201,7 @@
     def own_loads(self) -> dict[str, Load]:
         """Return the loads that this host has put on lives of targets."""
         return {
-            target.record.life: target.own
+            target.record.incarnation_id: target.own
             for target in self._targets.values()
             if target.own.requests
         }
@@ -211,7 +213,8 @@
 
     def _index(self) -> None:
         self._by_life = {
-            target.record.life: target for target in self._targets.values()
+            target.record.incarnation_id: target
+            for target in self._targets.values()
         }
         self._by_place = {}
         for target in self._targets.values():
@@ -220,7 +223,9 @@
             self._by_place.setdefault(place, []).append(target)
 
     def _enter(self, record: TargetRecord, earlier: Target | None) -> Target:
-        pushback = self._kept_pushback.take(record.life, record.instance)
+        pushback = self._kept_pushback.take(
+            record.incarnation_id, record.instance
+        )
         if earlier is not None:
             began_at = _began_at(record, self._clock)
             pushback = earlier.pushback.of_next_life(began_at)
@@ -235,7 +240,7 @@
         logs.event(
             'target_known',
             target=record.instance,
-            life=record.life,
+            life=record.incarnation_id,
             starts_again=earlier is not None,
             service=record.service,
             data_centre=record.data_centre,
@@ -263,17 +268,20 @@
 
 
 def _place(record: TargetRecord) -> tuple[str, str, str]:
-    return (record.life, record.service, record.data_centre)
+    return (record.incarnation_id, record.service, record.data_centre)
 
 
 def _began_at(record: TargetRecord, clock: Clock) -> float:
     """Return when a life began, by the monotonic clock."""
-    born_seconds = (record.born_ms or 0) / 1000
+    born_seconds = (record.started_at_ms or 0) / 1000
     return clock.monotonic() - clock.now().timestamp() + born_seconds
 
 
 def _is_other_life(target: Target, record: TargetRecord) -> bool:
     # Any other start is another life, an earlier one too: the clock of a
     # target may have gone back, and records come in the store's order.
-    known = target.record.born_ms
-    return None not in {known, record.born_ms} and known != record.born_ms
+    known = target.record.started_at_ms
+    return (
+        None not in {known, record.started_at_ms}
+        and known != record.started_at_ms
+    )
--- a/jacinthfold/platform/documents.py
+++ b/jacinthfold/platform/documents.py
@@ -5,13 +5,13 @@
 
 from jacinthfold.catalogue.model import (
     CallerLimits,
-    Repetition,
+    RetryPolicy,
     Route,
     RouteTable,
     Service,
     TargetRecord,
 )
-from jacinthfold.catalogue.records import Kind, UnreadableRecordError
+from jacinthfold.catalogue.records import RecordKind, UnreadableRecordError
 from jacinthfold.platform import entries
 from jacinthfold.platform.organisations import read_organisations
 
@@ -38,20 +38,20 @@
 class PlatformReader:
     """Turn the store's items into types."""
 
-    def kind_of(self, key: str) -> tuple[Kind, str]:
+    def kind_of(self, key: str) -> tuple[RecordKind, str]:
         """Return what a key is about and the name within that kind."""
         if key == ROUTES_KEY:
-            return Kind.ROUTES, key
+            return RecordKind.ROUTES, key
         for prefix, kind in (
-            (EVACUATION_PREFIX, Kind.EVACUATION),
-            (TARGET_PREFIX, Kind.TARGET),
-            (HOST_PREFIX, Kind.HOST),
-            (QUARANTINE_PREFIX, Kind.QUARANTINE),
-            (ISSUER_PREFIX, Kind.ISSUER),
+            (EVACUATION_PREFIX, RecordKind.EVACUATION),
+            (TARGET_PREFIX, RecordKind.TARGET),
+            (HOST_PREFIX, RecordKind.HOST),
+            (QUARANTINE_PREFIX, RecordKind.QUARANTINE),
+            (ISSUER_PREFIX, RecordKind.ISSUER),
         ):
             if key.startswith(prefix):
                 return kind, key.removeprefix(prefix)
-        return Kind.OTHER, key
+        return RecordKind.OTHER, key
 
     def read_routes(self, content: bytes) -> RouteTable:
         """Return the operator's configuration; raise UnreadableRecordError."""
@@ -88,24 +88,24 @@
     kind = entry['route-type']
     route.is_public = bool(entry.get('public'))
     route.is_stream = kind == 'stream'
-    route.repetition = _repetition(kind, entry)
+    route.retry_policy = _repetition(kind, entry)
     route.timeout_seconds = entry['timeout-ms'] / _MS
-    route.aim_seconds = (
+    route.latency_objective_seconds = (
         entry.get('target-latency-ms') or entry['timeout-ms']
     ) / _MS
-    route.gap_aim_seconds = (entry.get('target-gap-ms') or 0) / _MS
+    route.gap_objective_seconds = (entry.get('target-gap-ms') or 0) / _MS
     route.priority = entry.get('priority') or 0
     route.max_attempts = max(1, entry.get('max-attempts') or 1)
     route.home_regions = frozenset(entry.get('allowed-regions') or ())
     return route
 
 
-def _repetition(kind: str, entry: dict[str, Any]) -> Repetition:
+def _repetition(kind: str, entry: dict[str, Any]) -> RetryPolicy:
     if kind == 'idempotent':
-        return Repetition.WHOLE
+        return RetryPolicy.WHOLE
     if kind == 'stream' and entry.get('resumable'):
-        return Repetition.RESUMED
-    return Repetition.NEVER
+        return RetryPolicy.RESUMED
+    return RetryPolicy.NEVER
 
 
 def _read_service(entry: dict[str, Any]) -> Service:
@@ -115,7 +115,7 @@
     service.cold_requests_per_second = entry.get('warmup-per-s') or 0.0
     engine = entry.get('engine') or {}
     service.slots = engine.get('slots') or 0
-    service.memory_tokens = engine.get('kv-tokens') or 0
+    service.kv_cache_tokens = engine.get('kv-tokens') or 0
     if engine.get('moves') and engine.get('link-mbps'):
         bits = (engine.get('kv-bytes') or 0) * _BITS
         service.copy_seconds_per_token = bits / engine['link-mbps'] / _MEGA
--- a/jacinthfold/platform/entries.py
+++ b/jacinthfold/platform/entries.py
@@ -63,7 +63,7 @@
         record.remaining_seconds = entry.remaining_ms / _MS
     if entry.born is not msgspec.UNSET:
         _check_range('born', entry.born, 0, BORN_LIMIT_MS)
-        record.born_ms = entry.born
+        record.started_at_ms = entry.born
     return record
 
 
--- a/jacinthfold/proxy/attempts.py
+++ b/jacinthfold/proxy/attempts.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import Protocol
 
-from jacinthfold.catalogue.model import HostRecord, Repetition
+from jacinthfold.catalogue.model import HostRecord, RetryPolicy
 from jacinthfold.clock import Clock
 from jacinthfold.placement.budget import RetryBudgets
 from jacinthfold.placement.estimates import Estimate
@@ -176,10 +176,10 @@
         progress: Progress,
         last_heard: Callable[[], float],
     ) -> Patience:
-        aim = request.route.aim_seconds
+        aim = request.route.latency_objective_seconds
         silence = max(SILENCE_AIMS * aim, SILENCE_AT_LEAST_SECONDS)
         hang = max(HANG_AIMS * aim, 2 * SILENCE_AT_LEAST_SECONDS)
-        is_once = request.route.repetition is Repetition.NEVER
+        is_once = request.route.retry_policy is RetryPolicy.NEVER
         return Patience(
             None if is_once else silence,
             hang,
@@ -201,7 +201,7 @@
         headers: Headers,
         delivery: Delivery,
     ) -> Outcome:
-        must_be_fresh = request.route.repetition is Repetition.NEVER
+        must_be_fresh = request.route.retry_policy is RetryPolicy.NEVER
         try:
             channel = await self._pool.take(
                 place, connect_seconds, must_be_fresh=must_be_fresh
--- a/jacinthfold/proxy/delivery.py
+++ b/jacinthfold/proxy/delivery.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from jacinthfold.catalogue.model import Repetition
+from jacinthfold.catalogue.model import RetryPolicy
 from jacinthfold.clock import Clock
 from jacinthfold.proxy.caller_answer import CallerAnswer
 from jacinthfold.proxy.events import EventSplitter
@@ -143,12 +143,12 @@
         silence_seconds = self._patience.silence_seconds
         if silence_seconds is None or not self.first_event_at:
             return silence_seconds
-        gap = self._request.route.gap_aim_seconds
+        gap = self._request.route.gap_objective_seconds
         return max(SILENT_GAPS * gap, SILENT_GAP_AT_LEAST_SECONDS)
 
     def _may_repeat(self) -> bool:
         route = self._request.route
-        if route.repetition is Repetition.NEVER:
+        if route.retry_policy is RetryPolicy.NEVER:
             return False
         return self._progress.runs + 1 < route.max_attempts
 
--- a/jacinthfold/proxy/forwarding.py
+++ b/jacinthfold/proxy/forwarding.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 
 from jacinthfold import logs
-from jacinthfold.catalogue.model import Repetition
+from jacinthfold.catalogue.model import RetryPolicy
 from jacinthfold.clock import Clock
 from jacinthfold.placement.budget import RetryBudgets
 from jacinthfold.placement.choice import Placer
@@ -164,13 +164,13 @@
             return False
         if outcome.ending is Ending.NOT_RUN:
             return not answer.has_started or (
-                request.route.repetition is Repetition.RESUMED
+                request.route.retry_policy is RetryPolicy.RESUMED
             )
         if progress.runs >= request.route.max_attempts:
             return False
         if answer.has_started:
-            return request.route.repetition is Repetition.RESUMED
-        return request.route.repetition is not Repetition.NEVER
+            return request.route.retry_policy is RetryPolicy.RESUMED
+        return request.route.retry_policy is not RetryPolicy.NEVER
 
     async def _give_up(
         self, request: Request, answer: CallerAnswer, progress: Progress
--- a/jacinthfold/proxy/relay_header.py
+++ b/jacinthfold/proxy/relay_header.py
@@ -2,7 +2,7 @@
 
 import json
 
-from jacinthfold.catalogue.model import Repetition, Route
+from jacinthfold.catalogue.model import RetryPolicy, Route
 from jacinthfold.request.messages import Headers, Request, first_header
 
 # Both are dropped from what callers send and from what targets get.
@@ -57,9 +57,9 @@
     document = {
         'service': request.service_name,
         'stream': route.is_stream,
-        'repetition': route.repetition.value,
-        'aim_seconds': route.aim_seconds,
-        'gap_aim_seconds': route.gap_aim_seconds,
+        'repetition': route.retry_policy.value,
+        'aim_seconds': route.latency_objective_seconds,
+        'gap_aim_seconds': route.gap_objective_seconds,
         'priority': route.priority,
         # The sender can't see how many targets ran the request there. With
         # one each, its own count is the whole count.
@@ -87,9 +87,9 @@
     document = json.loads(content)
     route = Route('passed', '', '', ((document['service'], 1),))
     route.is_stream = document['stream']
-    route.repetition = Repetition(document['repetition'])
-    route.aim_seconds = document['aim_seconds']
-    route.gap_aim_seconds = document['gap_aim_seconds']
+    route.retry_policy = RetryPolicy(document['repetition'])
+    route.latency_objective_seconds = document['aim_seconds']
+    route.gap_objective_seconds = document['gap_aim_seconds']
     route.priority = document['priority']
     route.max_attempts = document['max_attempts']
     route.home_regions = frozenset(document['homes'])
--- a/jacinthfold/proxy/request_log.py
+++ b/jacinthfold/proxy/request_log.py
@@ -43,7 +43,7 @@
         'request_refused',
         request=request.facts.request_id,
         reason=refusal.reason,
-        aim_seconds=request.route.aim_seconds,
+        aim_seconds=request.route.latency_objective_seconds,
         prompt_tokens=request.facts.prompt_tokens,
         wait_seconds=here.wait_seconds if here else None,
         expected_seconds=here.seconds if here else None,
--- a/jacinthfold/quarantine/presence.py
+++ b/jacinthfold/quarantine/presence.py
@@ -99,7 +99,7 @@
         self, target: Target, cause: Cause, present: list[Presence]
     ) -> None:
         """Take which life ended, of what, and what was there."""
-        self.life = target.record.life
+        self.life = target.record.incarnation_id
         self.service = target.record.service
         self.cause = cause
         self.present = present
--- a/jacinthfold/quarantine/witness.py
+++ b/jacinthfold/quarantine/witness.py
@@ -64,11 +64,11 @@
         self, request: Request, target: Target, withdraw: Callable[[], None]
     ) -> Attempt:
         """Take that a request leaves for a target."""
-        life = self._lives.setdefault(target.record.life, Life())
+        life = self._lives.setdefault(target.record.incarnation_id, Life())
         if life.is_ended:
             # It listens again under the same name, and another end may come.
             life = Life()
-            self._lives[target.record.life] = life
+            self._lives[target.record.incarnation_id] = life
         attempt = Attempt(request, target, life, withdraw)
         now = self._clock.monotonic()
         service = self._targets.service(target.record.service)
@@ -106,15 +106,15 @@
 
     def forget(self, target: Target) -> None:
         """Drop a life that is gone."""
-        life = self._lives.get(target.record.life)
+        life = self._lives.get(target.record.incarnation_id)
         if life is None or life.attempts:
             return
         if life.is_ended or not life.broken:
             self._drop(target, life)
 
     def _drop(self, target: Target, life: Life) -> None:
-        if self._lives.get(target.record.life) is life:
-            self._lives.pop(target.record.life)
+        if self._lives.get(target.record.incarnation_id) is life:
+            self._lives.pop(target.record.incarnation_id)
 
     def _learn_head(self, attempt: Attempt) -> None:
         if attempt.begun_at is None or attempt.first_event_at is None:
@@ -142,7 +142,8 @@
             life.broken.clear()
             return
         task = asyncio.get_running_loop().create_task(
-            self._look(target, life), name=f'look {target.record.life}'
+            self._look(target, life),
+            name=f'look {target.record.incarnation_id}',
         )
         self._tasks.add(task)
         task.add_done_callback(self._on_looked)
--- a/jacinthfold/quota/office.py
+++ b/jacinthfold/quota/office.py
@@ -68,7 +68,7 @@
             if lent is not None:
                 self.pools.take_answer(lent)
             return lent is not None
-        place = self._hosts.place_of(name)
+        place = self._hosts.endpoint_of(name)
         if place is None:
             return False
         self.post.put(place, ask)
--- a/jacinthfold/quota/permits.py
+++ b/jacinthfold/quota/permits.py
@@ -86,7 +86,7 @@
         if permit.pool == self._hosts.own.name:
             self._pools.give_back(permit.organisation, permit.cost)
             return
-        place = self._hosts.place_of(permit.pool)
+        place = self._hosts.endpoint_of(permit.pool)
         if place is not None:
             self._post.put(place, Returned(permit.organisation, permit.cost))
 
@@ -129,7 +129,7 @@
             self._open.pop(number)
 
     def _put(self, name: str, ask: PermitAsk) -> None:
-        place = self._hosts.place_of(name)
+        place = self._hosts.endpoint_of(name)
         if place is not None:
             self._post.put(place, ask)
 
--- a/tests/gateway/beating.py
+++ b/tests/gateway/beating.py
@@ -19,7 +19,7 @@
     )
 
 
-class Beater:
+class SimulatedHost:
     """Hold one host's heartbeats and when it sends the next one."""
 
     def __init__(self, fleet, record):
@@ -35,12 +35,12 @@
             self.scene.placer,
             fleet.clock,
         )
-        self.heartbeats.send = lambda content, place: fleet.carry(
-            record.name, content, place
+        self.heartbeats.send = lambda content, endpoint: fleet.deliver(
+            record.name, content, endpoint
         )
         self.due_at = fleet.clock.monotonic() + fleet.random.uniform(0, 0.2)
         self.is_running = True
-        self.heard_count = 0
+        self.received_count = 0
 
     def live(self):
         """Return the names of the hosts of the region that serve."""
@@ -64,7 +64,7 @@
         """Add a host that all know from the store, and that knows all."""
         number = len(self._by_address)
         record = host_record(name, data_centre, number, 'north', incarnation)
-        added = Beater(self, record)
+        added = SimulatedHost(self, record)
         for other in self.hosts.values():
             other.hosts.register(record, name)
             added.hosts.register(other.hosts.own, other.hosts.own.name)
@@ -72,13 +72,13 @@
         self._by_address[record.address] = name
         return added
 
-    def carry(self, sender, content, place):
-        receiver = self._by_address.get(place[0])
+    def deliver(self, sender, content, endpoint):
+        receiver = self._by_address.get(endpoint[0])
         if receiver is None or self.is_lost(sender, receiver):
             return
         host = self.hosts[receiver]
         if host.is_running and self.hosts[sender].is_running:
-            host.heard_count += 1
+            host.received_count += 1
             address = self.hosts[sender].hosts.own.address
             host.heartbeats.datagram_received(content, (address, 2))
 
@@ -88,8 +88,8 @@
             now = self.clock.monotonic()
             for host in self.hosts.values():
                 if host.is_running and host.due_at <= now:
-                    host.heartbeats.beat()
-                    host.due_at = now + host.heartbeats._beat_seconds()
+                    host.heartbeats.send_heartbeats()
+                    host.due_at = now + host.heartbeats._interval_seconds()
 
     def add_target(self, instance):
         for host in self.hosts.values():
@@ -102,7 +102,7 @@
             for host in self.hosts.values()
             if host.is_running and host.hosts.own.data_centre == data_centre
         )
-        return some.heartbeats._collectors.of(data_centre)
+        return some.heartbeats._collectors.select(data_centre)
 
     def running(self):
         return {
--- a/tests/gateway/test_choice.py
+++ b/tests/gateway/test_choice.py
@@ -24,7 +24,7 @@
     target.seconds_per_call = 0.06
     target.own = Load(SLOTS + 25)
     scene.hear(0.0)
-    request = scene.request(0, 'desk', aim_seconds=0.6)
+    request = scene.request(0, 'desk', latency_objective_seconds=0.6)
     assert isinstance(scene.choose(request), PassTo)
     target.own = Load(SLOTS)
     assert isinstance(scene.choose(request), SendTo)
@@ -50,7 +50,7 @@
     placer: Placer = scene.placer
     estimator, now = placer._estimator, scene.clock.monotonic()
     targets = scene.targets.all()
-    memory = scene.targets.service('model').memory_tokens
+    memory = scene.targets.service('model').kv_cache_tokens
     shared = request.facts.shared_chain
     every = [
         Keeper(one, kept)
--- a/tests/gateway/test_collectors.py
+++ b/tests/gateway/test_collectors.py
@@ -10,7 +10,7 @@
 from jacinthfold.fleet.digest_message import decode_digests, encode_digests
 from jacinthfold.fleet.digests import DigestView
 from jacinthfold.fleet.heartbeat_message import DIGEST_MARK
-from jacinthfold.fleet.table import SILENCE_SECONDS, HostState
+from jacinthfold.fleet.table import HOST_TIMEOUT_SECONDS, HostState
 from jacinthfold.placement.target import Load
 from tests.gateway.beating import Fleet
 from tests.gateway.test_placement import Scene
@@ -24,16 +24,16 @@
     def are_used(self):
         return False
 
-    def of(self, data_centre):
+    def select(self, data_centre):
         return []
 
 
-def hearing(fleet, seconds):
+def received_per_second(fleet, seconds):
     """Return what each host hears in a second."""
-    before = {name: host.heard_count for name, host in fleet.hosts.items()}
+    before = {name: host.received_count for name, host in fleet.hosts.items()}
     fleet.run(seconds)
     return {
-        name: (host.heard_count - before[name]) / seconds
+        name: (host.received_count - before[name]) / seconds
         for name, host in fleet.hosts.items()
     }
 
@@ -44,7 +44,7 @@
     return host.scene.targets.find(instance).load(now).requests
 
 
-def test_what_a_host_hears_does_not_grow_with_its_region():
+def test_received_datagrams_do_not_grow_with_region_size():
     """Thirty hosts and ninety, at rest.
 
     Each told all others before: a host heard two and a half datagrams a
@@ -53,7 +53,7 @@
     for count in (30, 90):
         fleet = Fleet(count)
         fleet.run(SETTLED_SECONDS)
-        heard = hearing(fleet, 5.0)
+        heard = received_per_second(fleet, 5.0)
         busy = {*fleet.collectors('n-1'), *fleet.collectors('n-2')}
         assert len(busy) == 4
         calm = [rate for name, rate in heard.items() if name not in busy]
@@ -65,11 +65,11 @@
 def test_small_region_needs_no_collectors():
     fleet = Fleet(6)
     fleet.run(SETTLED_SECONDS)
-    assert all(rate > 15 for rate in hearing(fleet, 2.0).values())
+    assert all(rate > 15 for rate in received_per_second(fleet, 2.0).values())
 
 
 @pytest.mark.parametrize('seed', range(6))
-def test_sums_are_what_adding_up_all_hosts_gives(seed):
+def test_digest_sums_equal_the_sum_over_all_hosts(seed):
     """Hosts take requests on and end them between two heartbeats.
 
     Added to its own, a host must not count its own requests a second time
@@ -132,9 +132,9 @@
             assert living <= host.live()
     for host in fleet.running().values():
         assert host.live() == living
-        assert host.heartbeats._digests.carries_own()
+        assert host.heartbeats._digest_view.includes_own()
     busy = {*fleet.collectors('n-1'), *fleet.collectors('n-2')}
-    heard = hearing(fleet, 5.0)
+    heard = received_per_second(fleet, 5.0)
     assert max(r for n, r in heard.items() if n in living - busy) < 12
 
 
@@ -147,12 +147,12 @@
     for name in doomed:
         fleet.hosts[name].is_running = False
     living = set(fleet.running())
-    fleet.run(SILENCE_SECONDS + 1.5)
+    fleet.run(HOST_TIMEOUT_SECONDS + 1.5)
     for host in fleet.running().values():
         assert host.live() == living
 
 
-def test_host_whose_packets_don_t_reach_its_collectors_is_still_heard():
+def test_host_cut_off_from_its_collectors_stays_live():
     """One direction of two links is lost: from a host to its collectors.
 
     They do not tell of it, and without its own word the others would drop a
@@ -178,7 +178,7 @@
         assert requests(fleet.hosts[name], 'i-0') == 4
 
 
-def test_data_centres_find_each_other_after_a_cut():
+def test_data_centres_reconnect_after_a_partition():
     """Two data centres of a region are apart for five seconds.
 
     Each drops the other's hosts meanwhile. When the link is back nobody there
@@ -201,7 +201,7 @@
         assert host.live() == set(fleet.hosts)
 
 
-def test_added_host_is_known_and_knows_all():
+def test_added_host_and_others_discover_each_other():
     """A machine is added while hosts leave telling to collectors."""
     fleet = Fleet(30)
     fleet.run(SETTLED_SECONDS)
@@ -212,7 +212,7 @@
         assert 'new' in host.live()
 
 
-def test_host_that_wakes_up_alone_misleads_nobody():
+def test_digest_of_a_resumed_collector_is_not_preferred():
     """A collector is frozen for four seconds and hears nobody as it wakes.
 
     Its first digest tells of itself alone; taken for the truth it would make
@@ -234,14 +234,14 @@
     assert all(requests(one, 'i-0') == 30 for one in others)
 
 
-def test_leaving_host_is_named_no_more():
+def test_leaving_host_is_not_made_active_again():
     """A host that stops tells all at once; late digests don't undo that."""
     fleet = Fleet(30)
     fleet.run(SETTLED_SECONDS)
     name = fleet.collectors('n-1')[0]
     leaving = fleet.hosts[name]
     leaving.hosts.own_state = HostState.LEAVING
-    leaving.heartbeats.announce()
+    leaving.heartbeats.broadcast()
     for _ in range(10):
         fleet.run(0.1)
         for host in fleet.hosts.values():
@@ -249,19 +249,19 @@
     assert name not in fleet.collectors('n-1')
 
 
-def test_host_of_the_version_before_is_told_all_directly():
+def test_host_without_digest_support_gets_heartbeats_directly():
     """One host of the region does not read digests."""
     fleet = Fleet(20)
     fleet.run(SETTLED_SECONDS)
     old = fleet.hosts['h003']
-    known = old.heartbeats.content.near
+    known = old.heartbeats.builder.for_own_region
 
-    def near(count, *, is_full):
+    def for_own_region(count, *, is_full):
         heartbeat = known(count, is_full=is_full)
         heartbeat.digests = False
         return heartbeat
 
-    old.heartbeats.content.near = near
+    old.heartbeats.builder.for_own_region = for_own_region
     old.heartbeats._collectors = NoCollectors()
     fleet.run(SETTLED_SECONDS)
     collected = [host.heartbeats._is_collected for host in fleet.hosts.values()]
@@ -269,7 +269,7 @@
     assert old.live() == set(fleet.hosts)
 
 
-def test_growth_of_read_tokens_counts_once_when_another_collector_tells():
+def test_prefilled_tokens_count_once_after_collector_failover():
     """Hosts send prompts to a target; the first collector dies meanwhile.
 
     Both collectors count what the target reads, each from its own start.
@@ -292,7 +292,7 @@
     assert kept.read_tokens == 3000.0
 
 
-def test_growth_of_totals_is_not_counted_from_one_maker_to_the_next():
+def test_totals_of_two_collectors_are_not_compared():
     """A collector that has run for long is followed by one that began later.
 
     The difference between their counts says nothing of what was read.
@@ -307,7 +307,7 @@
     assert kept.read_tokens == 150.0
 
 
-def test_uses_of_shared_parts_reach_the_whole_region():
+def test_uses_of_shared_prefixes_reach_the_whole_region():
     fleet = Fleet(20)
     fleet.add_target('i-0')
     fleet.run(SETTLED_SECONDS)
@@ -320,7 +320,7 @@
         assert name == 'h000' or '/system/subject' in kept._uses
 
 
-def test_laws_of_a_region_are_learned_by_all():
+def test_latency_models_reach_the_whole_region():
     fleet = Fleet(20)
     sums = [float(number + 1) for number in range(9)]
     fleet.hosts['h001'].scene.targets.laws.of('model')._own = sums
@@ -330,7 +330,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_digest_is_read_or_refused(content):
+def test_arbitrary_bytes_are_rejected_as_digest(content):
     fleet = Fleet(2)
     host = fleet.hosts['h000']
     host.heartbeats.datagram_received(DIGEST_MARK + content, ('10.0.0.1', 1))
@@ -341,11 +341,11 @@
 def test_digest_of_another_region_changes_nothing():
     fleet = Fleet(14)
     fleet.run(SETTLED_SECONDS)
-    view: DigestView = fleet.hosts['h000'].heartbeats._digests
+    view: DigestView = fleet.hosts['h000'].heartbeats._digest_view
     digest = view._current['n-1'].digest
     packed = decode_digests(encode_digests([digest]))[0]
     packed.region = 'south'
     packed.data_centre = 's-1'
-    view.take(packed)
+    view.apply(packed)
     assert 's-1' not in view._current
     assert json.dumps(sorted(view._current)) == '["n-1", "n-2"]'
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -21,7 +21,7 @@
     """Return the directory of a western host that hears one other of west."""
     clock = FakeClock()
     hosts = HostTable(host('west-a', 'west'), clock)
-    hosts.note_heartbeat(host('west-b', 'west'), HostState.ACTIVE, 1)
+    hosts.record_heartbeat(host('west-b', 'west'), HostState.ACTIVE, 1)
     known = Catalogue(PlatformReader(), decode_host, clock)
     if routes:
         document = {'version': 1, 'routes': routes, 'backends': []}
@@ -34,7 +34,7 @@
     return {one.name for one in found}
 
 
-def test_host_that_knows_no_routes_leads_nobody_abroad():
+def test_host_without_routes_returns_no_hosts_of_other_regions():
     """Every host of a home region is stopping; a western host starts.
 
     It hears the others of its region before it has the configuration. A
@@ -46,16 +46,16 @@
     assert names(directory.resolve(HOST_NAME, 'west', 'west-1')) == {'west-b'}
 
 
-def test_bound_routes_are_led_to_a_home_or_nowhere():
+def test_home_regions_limit_the_returned_hosts():
     bound = route('/a/', **{'allowed-regions': ['north', 'south']})
     directory, hosts = scene([bound])
     assert not directory.resolve(HOST_NAME, 'north', 'north-1')
-    hosts.note_heartbeat(host('south-a', 'south'), HostState.ACTIVE, 1)
+    hosts.record_heartbeat(host('south-a', 'south'), HostState.ACTIVE, 1)
     found = directory.resolve(HOST_NAME, 'north', 'north-1')
     assert names(found) == {'south-a'}
 
 
-def test_routes_without_homes_are_led_anywhere():
+def test_routes_without_home_regions_return_any_region():
     directory, _ = scene([route('/a/')])
     found = directory.resolve(HOST_NAME, 'north', 'north-1')
     assert names(found) == {'west-b'}
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -28,14 +28,14 @@
 BOUND_SECONDS = 5.0
 
 
-def test_proof_counts_from_the_question():
+def test_proof_age_counts_from_the_request():
     """The store answered, and the answer took two seconds to arrive."""
     clock = FakeClock()
     freshness = Freshness(clock)
     freshness.advance(7)
-    asked_at = clock.boottime()
+    requested_at = clock.boottime()
     clock.advance(2)
-    freshness.note(asked_at, 7)
+    freshness.record_revision(requested_at, 7)
     assert freshness.age_seconds == 2
 
 
@@ -47,7 +47,7 @@
     clock = FakeClock()
     freshness = Freshness(clock)
     freshness.advance(7)
-    freshness.note(clock.boottime(), 9)
+    freshness.record_revision(clock.boottime(), 9)
     assert freshness.age_seconds == float('inf')
     assert freshness.is_behind
     clock.advance(1)
@@ -62,8 +62,8 @@
     clock = FakeClock()
     freshness = Freshness(clock)
     freshness.advance(7)
-    freshness.note(clock.boottime(), 7)
-    freshness.note(clock.boottime() - 3, 7)
+    freshness.record_revision(clock.boottime(), 7)
+    freshness.record_revision(clock.boottime() - 3, 7)
     assert freshness.age_seconds == 0
 
 
@@ -71,18 +71,18 @@
     """Return hosts that tell each other proofs, none of which has any."""
     fleet = Fleet(count, data_centres)
     for host in fleet.hosts.values():
-        host.heartbeats.proofs.is_told = True
+        host.heartbeats.freshness_exchange.is_enabled = True
         freshness_of(host).advance(1)
     fleet.run(3)
     return fleet
 
 
 def freshness_of(host):
-    return host.heartbeats.content._catalogue.freshness
+    return host.heartbeats.builder._catalogue.freshness
 
 
 @pytest.mark.parametrize('count', [4, 20, 60])
-def test_one_hosts_proof_serves_its_data_centre(count):
+def test_proof_of_one_host_reaches_its_data_centre(count):
     """One host reads the store; the store turns all others away.
 
     Whether hosts tell each other all or collectors sum for them, each host of
@@ -92,7 +92,7 @@
     fleet = proven_fleet(count, ('n-1',))
     reader = next(iter(fleet.hosts.values()))
     read_at = fleet.clock.boottime()
-    freshness_of(reader).note(read_at, 1)
+    freshness_of(reader).record_revision(read_at, 1)
     fleet.run(2)
     age_seconds = fleet.clock.boottime() - read_at
     for host in fleet.hosts.values():
@@ -100,7 +100,7 @@
         assert freshness_of(host).proof.as_of <= read_at
 
 
-def test_proof_does_not_grow_young_on_its_way():
+def test_proof_age_includes_delivery_delay():
     """Datagrams lie a second in the buffer of a host that stands still.
 
     Counted from when they are read, an old proof would seem new, and a key
@@ -109,7 +109,7 @@
     fleet = proven_fleet(4, ('n-1',))
     reader, other = list(fleet.hosts.values())[:2]
     read_at = fleet.clock.boottime()
-    freshness_of(reader).note(read_at, 1)
+    freshness_of(reader).record_revision(read_at, 1)
     held = []
     deliver = other.heartbeats.datagram_received
     other.heartbeats.datagram_received = lambda content, addr: held.append(
@@ -123,16 +123,16 @@
     assert freshness_of(other).proof.as_of <= read_at
 
 
-def test_number_of_an_earlier_life_proves_nothing():
+def test_receipt_of_an_earlier_incarnation_is_ignored():
     """A host starts again; a neighbour still names what it said before."""
     fleet = proven_fleet(2, ('n-1',))
     one, two = fleet.hosts.values()
-    freshness_of(one).note(fleet.clock.boottime(), 1)
+    freshness_of(one).record_revision(fleet.clock.boottime(), 1)
     fleet.run(1)
-    proofs = two.heartbeats.proofs
+    freshness_exchange = two.heartbeats.freshness_exchange
     before = freshness_of(two).proof.as_of
-    proofs._life += 1
-    freshness_of(one).note(fleet.clock.boottime(), 1)
+    freshness_exchange._incarnation += 1
+    freshness_of(one).record_revision(fleet.clock.boottime(), 1)
     fleet.run(0.1)
     assert freshness_of(two).proof.as_of == before
 
@@ -142,7 +142,7 @@
     made, _ = catalogue()
     made.apply([record(document(tenant('north', KEY)), 1)], 1)
     clock = made.freshness._clock
-    made.freshness.note(clock.boottime(), 1)
+    made.freshness.record_revision(clock.boottime(), 1)
     clock.advance(age_seconds)
     return KeyGate(made, BOUND_SECONDS), made
 
@@ -164,21 +164,21 @@
     assert gate.barrier(request_with(KEY)) is barrier
 
 
-def test_request_whose_key_went_while_it_waited_is_not_sent():
+def test_request_whose_key_is_revoked_while_waiting_is_not_sent():
     gate, made = gate_at(0)
     assert gate.barrier(request_with(KEY)) is None
     made.apply([record(document(tenant('north', OTHER), version=6), 2)], 2)
     assert gate.barrier(request_with(KEY)) is Barrier.REVOKED
 
 
-def test_key_that_moved_while_it_waited_is_not_run_for_its_old_holder():
+def test_request_whose_key_changes_organisation_is_not_sent():
     gate, made = gate_at(0)
     moved = document(tenant('north'), tenant('south', KEY), version=6)
     made.apply([record(moved, 2)], 2)
     assert gate.barrier(request_with(KEY)) is Barrier.REVOKED
 
 
-def test_passed_on_request_needs_its_organisation_here():
+def test_relayed_request_needs_its_organisation_here():
     """Another host let it in; all its keys are gone by what is known here."""
     gate, made = gate_at(0)
     request = request_with(KEY)
@@ -236,14 +236,14 @@
     assert len(deployment.targets['i-1'].executed) <= 1
 
 
-def test_quiet_store_is_asked_and_keys_go_on(deployment):
+def test_idle_store_is_queried_and_keys_stay_valid(deployment):
     """Nothing changes in the store for longer than the bound."""
     cut_deployment(deployment, 'north-a')
     pause(6.5)
     assert ask_with_key(deployment, 'north-a').status == 200
 
 
-def test_frozen_host_runs_nothing_with_a_key_that_went(deployment):
+def test_suspended_host_runs_nothing_with_a_revoked_key(deployment):
     """A host stands still while a key is taken away; the store goes too.
 
     Five seconds later a request with that key lies in its socket, on a
@@ -289,7 +289,7 @@
     fleet = Fleet(4, ('n-1',))
     fleet.run(2)
     hosts = list(fleet.hosts.values())
-    hosts[1].heartbeats.content.reaches_store = lambda: False
+    hosts[1].heartbeats.builder.reaches_store = lambda: False
     fleet.run(1)
     made, _ = catalogue(fleet.clock)
     directory = Directory(hosts[0].hosts, made, random.Random(1))
@@ -301,7 +301,7 @@
 
     assert named() == {names[0], names[2], names[3]}
     for host in hosts:
-        host.heartbeats.content.reaches_store = lambda: False
+        host.heartbeats.builder.reaches_store = lambda: False
     directory.own_reaches_store = lambda: False
     fleet.run(1)
     assert named() == set(names)
--- a/tests/gateway/test_heartbeat.py
+++ b/tests/gateway/test_heartbeat.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from jacinthfold.catalogue.model import HostRecord
-from jacinthfold.fleet.heartbeat_message import decode, pack
+from jacinthfold.fleet.heartbeat_message import compress_heartbeat, decode
 from jacinthfold.fleet.heartbeats import Heartbeats
 from jacinthfold.fleet.table import HostState, HostTable
 from jacinthfold.placement.target import Load
@@ -39,11 +39,13 @@
             self.scene.clock,
         )
         self.sent = []
-        self.heartbeats.send = lambda content, place: self.sent.append(content)
+        self.heartbeats.send = lambda content, endpoint: self.sent.append(
+            content
+        )
 
     def beat(self):
         self.sent.clear()
-        self.heartbeats.beat()
+        self.heartbeats.send_heartbeats()
         return self.sent
 
 
@@ -55,20 +57,20 @@
     return peer
 
 
-def test_heartbeat_of_a_loaded_host_is_packed_to_under_half():
+def test_heartbeat_of_a_loaded_host_compresses_to_under_half():
     """Thirty hosts tell each other of twenty targets: nearly all the bytes
     between the data centres of a region."""
-    content = loaded(Peer('a')).heartbeats._message()
+    content = loaded(Peer('a')).heartbeats._encoded_heartbeat()
     assert len(content) > 900
-    assert len(pack(content)) < 0.45 * len(content)
-    assert decode(pack(content)) == decode(content)
+    assert len(compress_heartbeat(content)) < 0.45 * len(content)
+    assert decode(compress_heartbeat(content)) == decode(content)
 
 
-def test_host_of_the_version_before_gets_what_it_reads():
+def test_host_of_previous_version_gets_uncompressed_heartbeats():
     """One host is of the version before: it does not say that it reads
     packed heartbeats, and leaves out all fields that are new."""
     new = loaded(Peer('a'))
-    document = json.loads(Peer('b').heartbeats._message())
+    document = json.loads(Peer('b').heartbeats._encoded_heartbeat())
     for name in ('packs', 'read_tokens', 'uses', 'laws'):
         document.pop(name)
     new.heartbeats.datagram_received(json.dumps(document).encode(), ('b', 1))
@@ -76,14 +78,16 @@
     assert json.loads(new.beat()[0])['host']['name'] == 'a'
 
 
-def test_hosts_that_have_heard_each_other_send_packed():
+def test_hosts_that_know_each_other_send_compressed():
     one, other = loaded(Peer('a')), Peer('b')
-    one.heartbeats.datagram_received(other.heartbeats._message(), ('b', 1))
+    one.heartbeats.datagram_received(
+        other.heartbeats._encoded_heartbeat(), ('b', 1)
+    )
     content = one.beat()[0]
     assert decode(content).host.name == 'a'
     assert not content.startswith(b'{')
     other.heartbeats.datagram_received(content, ('a', 1))
-    assert other.hosts.others()[0].reads_packed
+    assert other.hosts.others()[0].supports_compression
 
 
 def test_first_heartbeats_go_to_the_seeds():
--- a/tests/gateway/test_herd.py
+++ b/tests/gateway/test_herd.py
@@ -72,7 +72,7 @@
 
     def place(self, now):
         scene = self.random.choice(self.scenes)
-        request = scene.request(0, 'desk', aim_seconds=0.6)
+        request = scene.request(0, 'desk', latency_objective_seconds=0.6)
         choice = scene.choose(request)
         assert isinstance(choice, SendTo)
         scene.placer.note_sent(choice, request)
--- a/tests/gateway/test_leaving_in_answers.py
+++ b/tests/gateway/test_leaving_in_answers.py
@@ -122,12 +122,12 @@
 def test_word_outlives_a_record_that_lapses_but_not_the_life():
     """Guards against a leaving target that the store's outage makes new."""
     scene = Scene()
-    target = scene.add('i-1', born_ms=1)
+    target = scene.add('i-1', started_at_ms=1)
     hear(scene, target, answer())
     scene.targets.remove('i-1')
     scene.clock.advance(LEFT_SECONDS)
     assert scene.targets.forget_gone() == [target]
-    assert scene.add('i-1', born_ms=1).last_resort_until is not None
-    again = scene.add('i-1', born_ms=born_now(scene))
+    assert scene.add('i-1', started_at_ms=1).last_resort_until is not None
+    again = scene.add('i-1', started_at_ms=born_now(scene))
     hear(scene, target, answer())
     assert again.last_resort_until is None
--- a/tests/gateway/test_limit_shares.py
+++ b/tests/gateway/test_limit_shares.py
@@ -260,9 +260,9 @@
 def test_next_life_has_no_limit_and_late_answers_don_t_mark_it():
     """Guards against a limit that outlives the process that named it."""
     scene = Scene()
-    first = scene.add('i-1', born_ms=1)
+    first = scene.add('i-1', started_at_ms=1)
     first.pushback.note_answer(answer(1.0), 0.0, scene.clock.monotonic())
-    again = scene.add('i-1', born_ms=born_now(scene))
+    again = scene.add('i-1', started_at_ms=born_now(scene))
     first.pushback.note_answer(answer(1.0), 0.0, scene.clock.monotonic())
     assert again.pushback.limit.per_second is None
 
@@ -284,21 +284,23 @@
     host = region.fleet.hosts['h000']
     digest = Digest('north', 'n-2', 'x', 1, '10.9.9.9', 0, 1, 0, [])
     digest.limits = {'i-0': word}
-    host.heartbeats._digests.take(digest)
+    host.heartbeats._digest_view.apply(digest)
     assert host.scene.targets.find('i-0').pushback.limit.per_second is None
 
 
 def test_limit_outlives_a_record_that_lapses():
     """Guards against a target in need that the store's outage makes new."""
     scene = Scene()
-    target = scene.add('i-1', born_ms=1)
+    target = scene.add('i-1', started_at_ms=1)
     target.pushback.note_answer(answer(1.0), 0.0, scene.clock.monotonic())
     scene.targets.remove('i-1')
     scene.clock.advance(5)
     assert scene.targets.forget_gone() == [target]
-    again = scene.add('i-1', born_ms=1)
+    again = scene.add('i-1', started_at_ms=1)
     assert again.pushback.limit.per_second == 1.0
     assert (
-        scene.add('i-1', born_ms=born_now(scene)).pushback.limit.per_second
+        scene.add(
+            'i-1', started_at_ms=born_now(scene)
+        ).pushback.limit.per_second
         is None
     )
--- a/tests/gateway/test_permit_order.py
+++ b/tests/gateway/test_permit_order.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jacinthfold.catalogue.model import Repetition
+from jacinthfold.catalogue.model import RetryPolicy
 from jacinthfold.placement.budget import RetryBudgets
 from jacinthfold.proxy.admission import Admission
 from jacinthfold.proxy.forwarding import Forwarder
@@ -171,6 +171,6 @@
         attempts,
         max_attempts=3,
         is_stream=True,
-        repetition=Repetition.RESUMED,
+        retry_policy=RetryPolicy.RESUMED,
     )
     assert len(attempts.sent) == 1
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -6,7 +6,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from jacinthfold.catalogue.model import Repetition, Route, Service, TargetRecord
+from jacinthfold.catalogue.model import (
+    RetryPolicy,
+    Route,
+    Service,
+    TargetRecord,
+)
 from jacinthfold.placement import limits
 from jacinthfold.placement.budget import RetryBudgets
 from jacinthfold.placement.choice import Placer
@@ -29,7 +34,7 @@
         self.clock = clock or FakeClock()
         self.targets = TargetTable(REGIONS, self.clock)
         engine = Service('model')
-        engine.memory_tokens = 500000
+        engine.kv_cache_tokens = 500000
         engine.slots = 64
         engine.copy_seconds_per_token = 5e-7
         engine.cold_seconds = 3.0
@@ -69,7 +74,7 @@
         request = Request(b'POST', b'/x', [], b'', facts)
         request.route = Route('r', 'api', '/', ((service, 1),))
         request.route.priority = 1
-        request.route.repetition = Repetition.NEVER
+        request.route.retry_policy = RetryPolicy.NEVER
         for name, content in route_fields.items():
             setattr(request.route, name, content)
         request.service_name = service
@@ -109,9 +114,11 @@
     scene = Scene()
     target = scene.add('i-1')
     target.own = Load(4, 50000, 50000)
-    urgent = {'aim_seconds': 0.6, 'priority': 0}
+    urgent = {'latency_objective_seconds': 0.6, 'priority': 0}
     assert scene.instance(scene.request(**urgent)) == 'i-1'
-    assert isinstance(scene.choose(scene.request(aim_seconds=0.6)), Refuse)
+    assert isinstance(
+        scene.choose(scene.request(latency_objective_seconds=0.6)), Refuse
+    )
     target.own = Load(4, 50000, 50000, urgent_tokens=50000)
     assert isinstance(scene.choose(scene.request(**urgent)), Refuse)
 
@@ -314,7 +321,9 @@
     for _ in range(240):
         scene.clock.advance(1 / 80)
         scene.hear(0.05, count=2)
-        request = scene.request(tokens=380, aim_seconds=1.5, priority=0)
+        request = scene.request(
+            tokens=380, latency_objective_seconds=1.5, priority=0
+        )
         choice = scene.choose(request)
         if isinstance(choice, PassTo):
             scene.regions.note_passed(request, choice.region)
@@ -391,7 +400,7 @@
         scene.add(name).note_failure(now, is_unreachable=True)
     scene.hear(0.1)
     assert isinstance(scene.choose(scene.request()), PassTo)
-    assert scene.placer.room('model', is_urgent=False) is None
+    assert scene.placer.least_wait_seconds('model', is_urgent=False) is None
     scene.clock.advance(limits.EJECT_SECONDS)
     assert isinstance(scene.choose(scene.request()), SendTo)
 
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -248,12 +248,12 @@
     return {
         host
         for host, one in fleet.running().items()
-        if one.heartbeats.content.suspects.refused_seconds(name) is not None
+        if one.heartbeats.builder.suspects.refused_seconds(name) is not None
     }
 
 
 def saw_end(fleet, host, name, life):
-    suspects = fleet.hosts[host].heartbeats.content.suspects
+    suspects = fleet.hosts[host].heartbeats.builder.suspects
     at_ms = round(fleet.clock.now().timestamp() * 1000)
     suspects.note_end(name, End(life, BEGUN, is_fresh=True, at_ms=at_ms))
 
--- a/tests/gateway/test_target_rest.py
+++ b/tests/gateway/test_target_rest.py
@@ -151,7 +151,7 @@
     hear(scene, scene.add('i-1'), refused(3.0))
     scene.hear(0.1)
     assert scene.choose(scene.request()).region.name == 'south'
-    assert scene.placer.room('model', is_urgent=True) is None
+    assert scene.placer.least_wait_seconds('model', is_urgent=True) is None
 
 
 def test_request_chosen_before_the_rest_is_not_sent_into_it():
@@ -169,29 +169,29 @@
 def test_rest_outlives_a_record_that_lapses_but_not_the_life():
     """Guards against a resting target that the store's outage makes new."""
     scene = Scene()
-    target = scene.add('i-1', born_ms=1)
+    target = scene.add('i-1', started_at_ms=1)
     hear(scene, target, refused(30.0))
     scene.targets.remove('i-1')
     scene.clock.advance(5)
     assert scene.targets.forget_gone() == [target]
-    scene.add('i-1', born_ms=1)
+    scene.add('i-1', started_at_ms=1)
     assert isinstance(send(scene), Refuse)
-    again = scene.add('i-1', born_ms=born_now(scene))
+    again = scene.add('i-1', started_at_ms=born_now(scene))
     assert send(scene) is again
 
 
 def test_word_of_a_life_whose_record_comes_late_holds_for_it():
     """Guards against a rest that a target loses as its record arrives."""
     scene = Scene()
-    scene.add('i-1', born_ms=1)
-    born_ms = born_now(scene)
+    scene.add('i-1', started_at_ms=1)
+    started_at_ms = born_now(scene)
     scene.clock.advance(0.5)
     hear(scene, scene.targets.find('i-1'), refused(3.0))
     scene.clock.advance(0.5)
-    scene.add('i-1', born_ms=born_ms)
+    scene.add('i-1', started_at_ms=started_at_ms)
     assert isinstance(send(scene), Refuse)
     scene.clock.advance(3)
-    assert send(scene).record.born_ms == born_ms
+    assert send(scene).record.started_at_ms == started_at_ms
 
 
 def test_rest_is_not_held_against_a_target():
--- a/tests/gateway/test_translation.py
+++ b/tests/gateway/test_translation.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from jacinthfold.catalogue.host_codec import decode_host
-from jacinthfold.catalogue.model import HostRecord, Repetition
-from jacinthfold.catalogue.records import Catalogue, Kind, Record
+from jacinthfold.catalogue.model import HostRecord, RetryPolicy
+from jacinthfold.catalogue.records import Catalogue, Record, RecordKind
 from jacinthfold.config import SettingsError
 from jacinthfold.fleet.heartbeats import Heartbeats
 from jacinthfold.fleet.table import HostState, HostTable
@@ -105,11 +105,11 @@
         'backends': [service('desk')],
     }
     table = PlatformReader().read_routes(json.dumps(document).encode())
-    assert [one.repetition for one in table.routes] == [
-        Repetition.NEVER,
-        Repetition.WHOLE,
-        Repetition.NEVER,
-        Repetition.RESUMED,
+    assert [one.retry_policy for one in table.routes] == [
+        RetryPolicy.NEVER,
+        RetryPolicy.WHOLE,
+        RetryPolicy.NEVER,
+        RetryPolicy.RESUMED,
     ]
 
 
@@ -166,9 +166,9 @@
 
 def test_keys_tell_what_records_are():
     reader = PlatformReader()
-    assert reader.kind_of('servers/i')[0] is Kind.TARGET
-    assert reader.kind_of('op/evacuate/z') == (Kind.EVACUATION, 'z')
-    assert reader.kind_of('something/else')[0] is Kind.OTHER
+    assert reader.kind_of('servers/i')[0] is RecordKind.TARGET
+    assert reader.kind_of('op/evacuate/z') == (RecordKind.EVACUATION, 'z')
+    assert reader.kind_of('something/else')[0] is RecordKind.OTHER
 
 
 def test_request_facts_are_read_from_headers():
@@ -265,12 +265,12 @@
     clock = FakeClock()
     _, hosts = heartbeats('a', clock)
     other = HostRecord('b', 1, ('north', 'n-1'), '127.0.0.2', (1, 2, 3))
-    hosts.note_heartbeat(other, HostState.ACTIVE, 1)
-    hosts.note_heartbeat(other, HostState.LEAVING, 1)
-    hosts.note_heartbeat(other, HostState.ACTIVE, 1)
+    hosts.record_heartbeat(other, HostState.ACTIVE, 1)
+    hosts.record_heartbeat(other, HostState.LEAVING, 1)
+    hosts.record_heartbeat(other, HostState.ACTIVE, 1)
     assert not hosts.serving('north')
     again = HostRecord('b', 2, ('north', 'n-1'), '127.0.0.2', (1, 2, 3))
-    hosts.note_heartbeat(again, HostState.ACTIVE, 1)
+    hosts.record_heartbeat(again, HostState.ACTIVE, 1)
     assert [one.name for one in hosts.serving('north')] == ['b']
 
 
@@ -278,7 +278,7 @@
     clock = FakeClock()
     _, hosts = heartbeats('a', clock)
     other = HostRecord('b', 1, ('north', 'n-1'), '127.0.0.2', (1, 2, 3))
-    hosts.note_heartbeat(other, HostState.ACTIVE, 1)
+    hosts.record_heartbeat(other, HostState.ACTIVE, 1)
     clock.advance(2.1)
     assert not hosts.serving('north')
 
--- a/tests/gateway/test_watchers.py
+++ b/tests/gateway/test_watchers.py
@@ -10,14 +10,18 @@
 from jacinthfold.catalogue.records import Catalogue, Record
 from jacinthfold.fleet.heartbeats import REMOTE_FANOUT, Heartbeats
 from jacinthfold.fleet.snapshots import (
-    CALL_SECONDS,
-    PackedSnapshots,
-    SnapshotCall,
+    CALL_TIMEOUT_SECONDS,
+    CompressedSnapshots,
+    SnapshotQuery,
     decode_snapshot,
     encode_snapshot,
 )
 from jacinthfold.fleet.table import HostState, HostTable
-from jacinthfold.fleet.watchers import ALL_WATCH_HOSTS, WATCHERS, Watchers
+from jacinthfold.fleet.watchers import (
+    MIN_HOSTS_FOR_WATCHERS,
+    WATCHERS_PER_DATA_CENTRE,
+    Watchers,
+)
 from jacinthfold.placement.regions import RegionView
 from jacinthfold.placement.targets import TargetTable
 from jacinthfold.platform.documents import PlatformReader
@@ -25,7 +29,7 @@
 from tests.gateway.deployment import route
 from tools.fleet import wait_until
 
-NAMES = [f'north-{number}' for number in range(ALL_WATCH_HOSTS + 4)]
+NAMES = [f'north-{number}' for number in range(MIN_HOSTS_FOR_WATCHERS + 4)]
 
 
 def record(name, region='north'):
@@ -39,13 +43,13 @@
     return {name: HostTable(record(name), clock) for name in names}
 
 
-def beat(hosts, lost=(), silent=()):
+def exchange_heartbeats(hosts, lost=(), silent=()):
     """Let every host that is not silent be heard by all others."""
     for name in hosts:
         if name in silent:
             continue
         for table in hosts.values():
-            table.note_heartbeat(
+            table.record_heartbeat(
                 record(name),
                 HostState.ACTIVE,
                 1,
@@ -61,14 +65,14 @@
 
 def test_in_a_small_region_all_hosts_watch():
     hosts = tables(FakeClock(), NAMES[:3])
-    beat(hosts)
+    exchange_heartbeats(hosts)
     assert watching(hosts) == set(hosts)
 
 
 def test_in_a_large_region_few_hosts_watch():
     hosts = tables(FakeClock(), NAMES)
-    beat(hosts)
-    assert len(watching(hosts)) == WATCHERS
+    exchange_heartbeats(hosts)
+    assert len(watching(hosts)) == WATCHERS_PER_DATA_CENTRE
 
 
 @pytest.mark.parametrize('way', ['silent', 'lost'])
@@ -80,18 +84,18 @@
     """
     clock = FakeClock()
     hosts = tables(clock, NAMES)
-    beat(hosts)
+    exchange_heartbeats(hosts)
     failed = watching(hosts)
     clock.advance(2.1)
-    beat(hosts, **{way: failed})
+    exchange_heartbeats(hosts, **{way: failed})
     left = {name: hosts[name] for name in NAMES if name not in failed}
-    assert len(watching(left)) == WATCHERS
+    assert len(watching(left)) == WATCHERS_PER_DATA_CENTRE
 
 
 def test_host_that_hears_nobody_watches():
     clock = FakeClock()
     hosts = tables(clock, NAMES)
-    beat(hosts)
+    exchange_heartbeats(hosts)
     clock.advance(2.1)
     assert watching(hosts) == set(hosts)
 
@@ -100,20 +104,20 @@
     """Count datagrams by receiver."""
 
     def __init__(self):
-        self.places = []
+        self.endpoints = []
 
-    def sendto(self, _content, place):
-        self.places.append(place)
+    def sendto(self, _content, endpoint):
+        self.endpoints.append(endpoint)
 
 
-def test_few_hosts_of_another_region_hear_each_heartbeat():
+def test_few_hosts_of_another_region_receive_each_heartbeat():
     clock = FakeClock()
     table = HostTable(record('north-0'), clock)
     for number in range(30):
-        table.note_heartbeat(
+        table.record_heartbeat(
             record(f'south-{number}', 'south'), HostState.ACTIVE, 1
         )
-    beats = Heartbeats(
+    heartbeats = Heartbeats(
         table,
         Catalogue(PlatformReader(), decode_host, clock),
         TargetTable({}, clock),
@@ -122,31 +126,31 @@
         clock,
     )
     wire = Wire()
-    beats.connection_made(wire)
+    heartbeats.connection_made(wire)
     for _ in range(3):
-        beats.beat()
-    assert len(wire.places) == REMOTE_FANOUT
-    beats.announce()
-    assert len(wire.places) == REMOTE_FANOUT + 30
+        heartbeats.send_heartbeats()
+    assert len(wire.endpoints) == REMOTE_FANOUT
+    heartbeats.broadcast()
+    assert len(wire.endpoints) == REMOTE_FANOUT + 30
 
 
 def catalogue():
     return Catalogue(PlatformReader(), decode_host, FakeClock())
 
 
-def test_neighbour_tells_what_changed_and_what_was_removed():
+def test_snapshot_holds_changes_and_removals():
     ahead, behind = catalogue(), catalogue()
     for one in (ahead, behind):
         one.apply([Record('x/a', 1, b'1'), Record('x/b', 2, b'2')], 2)
     ahead.apply([Record('x/a', 3, None), Record('x/c', 4, b'3')], 4)
-    told = decode_snapshot(encode_snapshot(ahead, behind.revision))
-    assert not told.is_whole
-    behind.apply(told.records, told.revision)
+    snapshot = decode_snapshot(encode_snapshot(ahead, behind.revision))
+    assert not snapshot.is_whole
+    behind.apply(snapshot.records, snapshot.revision)
     assert {one.key for one in behind.records()} == {'x/b', 'x/c'}
     assert behind.revision == 4
 
 
-def test_neighbour_that_took_a_list_tells_all():
+def test_snapshot_after_a_reload_is_whole():
     """A host that lost its history does not know what was removed before.
 
     Told only what changed, the other host would keep a target that left.
@@ -154,16 +158,16 @@
     ahead, behind = catalogue(), catalogue()
     behind.apply([Record('x/a', 1, b'1')], 1)
     ahead.replace([Record('x/b', 5, b'2')], 6)
-    told = decode_snapshot(encode_snapshot(ahead, behind.revision))
-    assert told.is_whole
-    behind.replace(told.records, told.revision)
+    snapshot = decode_snapshot(encode_snapshot(ahead, behind.revision))
+    assert snapshot.is_whole
+    behind.replace(snapshot.records, snapshot.revision)
     assert {one.key for one in behind.records()} == {'x/b'}
 
 
 def test_malformed_revision_is_refused():
-    assert SnapshotCall('/snapshot?since=7').since == 7
+    assert SnapshotQuery('/snapshot?since=7').since == 7
     with pytest.raises(ValueError):
-        SnapshotCall('/snapshot?since=x')
+        SnapshotQuery('/snapshot?since=x')
 
 
 def test_large_configuration_reaches_a_region_over_a_narrow_link():
@@ -174,19 +178,19 @@
     the hosts would serve by the earlier routes for seconds.
     """
     known = large_catalogue()
-    snapshots = PackedSnapshots(known)
+    snapshots = CompressedSnapshots(known)
     sizes = [len(snapshots.since(0)) for _ in range(14)]
     link_bytes_per_second = 5e6 / 8
-    assert sum(sizes) < CALL_SECONDS * link_bytes_per_second
+    assert sum(sizes) < CALL_TIMEOUT_SECONDS * link_bytes_per_second
     taken = decode_snapshot(snapshots.since(0))
     assert taken.is_whole
     assert taken.revision == known.revision
     assert {one.key for one in taken.records} == {'op/config'}
 
 
-def test_snapshot_is_packed_anew_after_a_change():
+def test_snapshot_is_compressed_again_after_a_change():
     known = large_catalogue()
-    snapshots = PackedSnapshots(known)
+    snapshots = CompressedSnapshots(known)
     before = snapshots.since(0)
     assert snapshots.since(0) is before
     known.apply([Record('op/evacuate/n-1', 9, b'{}')], 9)
@@ -194,9 +198,9 @@
     assert [one.key for one in changed.records] == ['op/evacuate/n-1']
 
 
-def test_hosts_of_the_version_before_neither_ask_nor_answer_packed():
+def test_hosts_of_previous_version_use_uncompressed_snapshots():
     known = large_catalogue()
-    assert not SnapshotCall('/snapshot?since=7').is_packed
+    assert not SnapshotQuery('/snapshot?since=7').accepts_compressed
     assert decode_snapshot(encode_snapshot(known, 0)).revision == 1
     with pytest.raises(ValueError):
         decode_snapshot(b'x neither packed nor not')
@@ -238,7 +242,9 @@
     for name in NAMES:
         deployment.wait_ready(name)
     wait_until(
-        lambda: 0 < deployment.store.waiting_watches <= WATCHERS,
+        lambda: (
+            0 < deployment.store.waiting_watches <= WATCHERS_PER_DATA_CENTRE
+        ),
         'few hosts watch',
     )
     deployment.put_routes(route('/a/'), route('/b/'))
@@ -248,7 +254,7 @@
     alive = [
         name for name in NAMES if deployment.hosts[name].process.poll() is None
     ]
-    assert len(alive) == len(NAMES) - WATCHERS
+    assert len(alive) == len(NAMES) - WATCHERS_PER_DATA_CENTRE
     deployment.put_routes(route('/a/'), route('/b/'), route('/c/'))
     wait_served_everywhere(deployment, alive, '/c/x')
 
@@ -264,5 +270,5 @@
 def watchers_of():
     """Return the hosts that are to watch, by the rule they go by."""
     hosts = tables(FakeClock(), NAMES)
-    beat(hosts)
+    exchange_heartbeats(hosts)
     return watching(hosts)
--- a/tools/ablations/decisions.py
+++ b/tools/ablations/decisions.py
@@ -51,7 +51,7 @@
         [
             (
                 'placement/targets.py',
-                '            self._kept_pushback.keep(target.record.life, target.pushback)',
+                '            self._kept_pushback.keep(\n                target.record.incarnation_id, target.pushback\n            )',
                 '',
             ),
         ],
--- a/tools/ablations/fleet.py
+++ b/tools/ablations/fleet.py
@@ -16,15 +16,15 @@
                 'is_collected=False',
             ),
         ],
-        COLLECTORS + '::test_what_a_host_hears_does_not_grow_with_its_region',
+        COLLECTORS + '::test_received_datagrams_do_not_grow_with_region_size',
     ),
     Ablation(
         'collectors: a host that no digest carries tells all by itself',
         [
             (
                 'fleet/heartbeats.py',
-                '        if self._digests.carries_own():\n            self._tell(self._hosts.entries',
-                '        if names:\n            self._tell(self._hosts.entries',
+                '        if self._digest_view.includes_own():\n            self._send_to(self._hosts.entries',
+                '        if names:\n            self._send_to(self._hosts.entries',
             ),
         ],
         COLLECTORS,
@@ -34,11 +34,11 @@
         [
             (
                 'fleet/digests.py',
-                'return self.own_loads.at(word.count)',
+                'return self.own_loads.at(summary.heartbeat_number)',
                 'return {}',
             ),
         ],
-        COLLECTORS + '::test_sums_are_what_adding_up_all_hosts_gives',
+        COLLECTORS + '::test_digest_sums_equal_the_sum_over_all_hosts',
     ),
     Ablation(
         'collectors: a digest of few hosts is not taken for many',
@@ -49,18 +49,18 @@
                 'return one.rank <= other.rank',
             ),
         ],
-        COLLECTORS + '::test_host_that_wakes_up_alone_misleads_nobody',
+        COLLECTORS + '::test_digest_of_a_resumed_collector_is_not_preferred',
     ),
     Ablation(
         'collectors: data centres that hear nobody of each other begin anew',
         [
             (
                 'fleet/digest_exchange.py',
-                'count = min(UNHEARD_FANOUT, len(entries))',
+                'count = min(FALLBACK_FANOUT, len(entries))',
                 'count = 0',
             ),
         ],
-        COLLECTORS + '::test_data_centres_find_each_other_after_a_cut',
+        COLLECTORS + '::test_data_centres_reconnect_after_a_partition',
     ),
     Ablation(
         "collectors: totals of two makers aren't compared",
@@ -71,19 +71,19 @@
                 'is_followed = True',
             ),
         ],
-        COLLECTORS
-        + '::test_growth_of_totals_is_not_counted_from_one_maker_to_the_next',
+        COLLECTORS + '::test_totals_of_two_collectors_are_not_compared',
     ),
     Ablation(
         'collectors: hosts that read no digests are told all directly',
         [
             (
                 'fleet/collectors.py',
-                ' and hosts.all_live_read_digests()',
+                ' and hosts.all_live_support_digests()',
                 '',
             ),
         ],
-        COLLECTORS + '::test_host_of_the_version_before_is_told_all_directly',
+        COLLECTORS
+        + '::test_host_without_digest_support_gets_heartbeats_directly',
     ),
     Ablation(
         'gateway: plain calls leave a region that makes them wait',
--- a/tools/ablations/gateway.py
+++ b/tools/ablations/gateway.py
@@ -97,7 +97,7 @@
                 'self._removals_since = self._removals_since',
             ),
         ],
-        GATEWAY + 'test_watchers.py::test_neighbour_that_took_a_list_tells_all',
+        GATEWAY + 'test_watchers.py::test_snapshot_after_a_reload_is_whole',
     ),
     Ablation(
         'gateway: hosts that do not watch ask who is ahead at once',
@@ -127,7 +127,7 @@
         [
             (
                 'proxy/forwarding.py',
-                'return request.route.repetition is not Repetition.NEVER',
+                'return request.route.retry_policy is not RetryPolicy.NEVER',
                 'return True',
             ),
         ],
@@ -154,7 +154,7 @@
             ),
         ],
         GATEWAY
-        + 'test_watchers.py::test_few_hosts_of_another_region_hear_each_heartbeat',
+        + 'test_watchers.py::test_few_hosts_of_another_region_receive_each_heartbeat',
     ),
     Ablation(
         'gateway: a leaving host does not register again',
@@ -205,7 +205,7 @@
         [
             (
                 'fleet/snapshots.py',
-                'zlib.compress(content, PACK_LEVEL)',
+                'zlib.compress(content, COMPRESSION_LEVEL)',
                 'content',
             ),
         ],
--- a/tools/ablations/organisations.py
+++ b/tools/ablations/organisations.py
@@ -73,45 +73,51 @@
                 'return None',
             )
         ],
-        FRESH + 'test_request_whose_key_went_while_it_waited_is_not_sent',
+        FRESH + 'test_request_whose_key_is_revoked_while_waiting_is_not_sent',
     ),
     Ablation(
         'revocation: a proof counts from the question',
         [
             (
-                'fleet/proofs.py',
-                'self._freshness.note(sent_at - proof[0] / _MS, proof[1])',
-                'self._freshness.note(self._clock.boottime() - proof[0] / _MS, proof[1])',
+                'fleet/freshness_exchange.py',
+                'self._freshness.record_revision(sent_at - proof[0] / _MS, proof[1])',
+                'self._freshness.record_revision(self._clock.boottime() - proof[0] / _MS, proof[1])',
             )
         ],
-        FRESH + 'test_proof_does_not_grow_young_on_its_way',
+        FRESH + 'test_proof_age_includes_delivery_delay',
     ),
     Ablation(
         'revocation: numbers of an earlier life prove nothing',
         [
             (
-                'fleet/proofs.py',
-                'if proof is None or heard is None or heard[0] != self._life:',
-                'if proof is None or heard is None:',
+                'fleet/freshness_exchange.py',
+                'if proof is None or receipt is None or receipt[0] != self._incarnation:',
+                'if proof is None or receipt is None:',
             )
         ],
-        FRESH + 'test_number_of_an_earlier_life_proves_nothing',
+        FRESH + 'test_receipt_of_an_earlier_incarnation_is_ignored',
     ),
     Ablation(
         'revocation: a store that is ahead proves nothing yet',
-        [('catalogue/freshness.py', 'if revision > self._known:', 'if False:')],
+        [
+            (
+                'catalogue/freshness.py',
+                'if revision > self._known_revision:',
+                'if False:',
+            )
+        ],
         FRESH + 'test_store_that_is_ahead_proves_nothing_until_that_is_known',
     ),
     Ablation(
         'revocation: a quiet store is asked',
         [
             (
-                'catalogue/prover.py',
+                'catalogue/freshness_checker.py',
                 'if not self.is_needed or self._catalogue.routes is None:',
                 'if True:',
             )
         ],
-        FRESH + 'test_quiet_store_is_asked_and_keys_go_on',
+        FRESH + 'test_idle_store_is_queried_and_keys_stay_valid',
     ),
     Ablation(
         'caps: what a silent pool may spend is not lent again',
--- a/tools/ablations/quarantine.py
+++ b/tools/ablations/quarantine.py
@@ -24,7 +24,7 @@
         [
             (
                 'fleet/heartbeats.py',
-                '        self.content.suspects.take(heartbeat.suspects, is_near=is_near)',
+                '        self.builder.suspects.take(heartbeat.suspects, is_near=is_near)',
                 '',
             ),
         ],
@@ -36,7 +36,7 @@
         [
             (
                 'fleet/digests.py',
-                '        self.take_suspects(digest.suspects)',
+                '        self.on_suspects(digest.suspects)',
                 '',
             ),
         ],
