--- a/jacinthfold/catalogue/__init__.py
+++ b/jacinthfold/catalogue/__init__.py
@@ -1,1 +1,1 @@
-"""Know the deployment: its routes, services, targets and entry hosts."""
+"""Mirror the deployment: its routes, services, targets and entry hosts."""
--- a/jacinthfold/catalogue/follower.py
+++ b/jacinthfold/catalogue/follower.py
@@ -1,4 +1,4 @@
-"""Follow the metadata store, and stay registered in it."""
+"""Follow changes of the metadata store and stay registered in it."""
 
 import asyncio
 import random
@@ -16,20 +16,20 @@
 from jacinthfold.catalogue.records import Catalogue
 from jacinthfold.clock import Clock
 
-# How long one watch waits; a silent connection is noticed after this and the
-# store's own timeout. Each ended watch is a priced call.
+# A dead connection is noticed after this and the store's own timeout. Shorter
+# watches cost more: each one that ends is a charged call.
 WATCH_TIMEOUT_SECONDS = 4.0
-# Changes come in clusters; one call then fetches several. Drained targets
-# must be obeyed within 3 s, so half a second is well inside.
+# Changes come in clusters, so a pause lets one call fetch several. It is well
+# within the 3 s in which the draining of a target must take effect.
 BATCH_DELAY_SECONDS = 0.5
-# The same for a host that watches in case another one stops: what that one's
-# connection hangs for is covered well inside the shortest bound of 3 s.
+# The pause of a host that watches only as a standby. If the connection of the
+# first watcher hangs, changes still arrive well within the limit of 3 s.
 STANDBY_BATCH_DELAY_SECONDS = 1.2
 RETRY_DELAY_SECONDS = (0.2, 0.5)
-# After several calls in a row that failed: refused calls are priced too.
+# After several failed calls in a row, because refused calls are charged too.
 REPEATED_RETRY_DELAY_SECONDS = (0.7, 1.1)
 MAX_FAST_RETRIES = 2
-# A host that is killed vanishes from the list within this time.
+# A host that is killed leaves the list within this time.
 LEASE_TTL_SECONDS = 4.0
 RENEWAL_INTERVAL_SECONDS = 1.3
 
@@ -40,7 +40,7 @@
     def __init__(
         self, store: MetadataStore, catalogue: Catalogue, clock: Clock
     ) -> None:
-        """Take where to read and what to keep up to date."""
+        """Initialize a follower that updates a catalogue."""
         self._store = store
         self._catalogue = catalogue
         self._clock = clock
@@ -49,9 +49,9 @@
         self.is_reached = False
         self._is_watching = True
         self._failed_count = 0
-        # Whether this host watches the store, or leaves that to neighbours.
+        # Whether this host watches the store itself.
         self.watches: Callable[[], bool] = lambda: True
-        # Whether it watches only in case that another one stops.
+        # Whether it watches only in case another host stops.
         self.is_standby: Callable[[], bool] = _never
 
     async def run(self) -> None:
@@ -89,8 +89,8 @@
         self._record_reached()
         self._catalogue.apply(changes, revision)
         if changes:
-            # Without changes it proves nothing: a store that drops its history
-            # lets watches wait while things change.
+            # A watch without changes proves nothing: it also stays idle if the
+            # store dropped its history while records changed.
             self._catalogue.freshness.record_revision(requested_at, revision)
             is_backup = self.is_standby()
             await asyncio.sleep(
@@ -136,7 +136,7 @@
     """Keep this host's record in the store, under a lease."""
 
     def __init__(self, store: MetadataStore, own: HostRecord) -> None:
-        """Take the record to keep there."""
+        """Initialize the registration of this host's record."""
         self._store = store
         self._own = own
         self._lease = 0
@@ -161,8 +161,8 @@
             )
 
     async def leave(self) -> None:
-        """End the registration; the lease ends by itself if that fails."""
-        # The next renewal finds no lease and would register the host anew.
+        """End the registration; if that fails, the lease expires."""
+        # Otherwise the next renewal would find no lease and register again.
         self._has_left = True
         if not self._lease:
             return
--- a/jacinthfold/catalogue/freshness.py
+++ b/jacinthfold/catalogue/freshness.py
@@ -1,34 +1,34 @@
-"""Know as of when this host's knowledge of the store is proven.
+"""Track how recent this host's copy of the store is known to be.
 
-A host that is cut off can't hear that a key was taken away. What bounds the
-harm is the age of what it knows, counted from the moment at which a question
-was sent that the store answered: an answer may have lain on its way, and a
-quiet watch says nothing. Ages go by the clock that runs on while a machine is
-suspended.
+A host that is cut off does not learn of revoked keys. The age of its data
+bounds how long it accepts them. The age counts from the time at which an
+answered request was sent, because a response may be delayed and an idle watch
+proves nothing. Ages use the boot-time clock, which also runs while a machine
+is suspended.
 """
 
 from collections import deque
 
 from jacinthfold.clock import Clock
 
-# Questions whose answers name a revision that isn't known yet: the newest are
-# enough, since each proves more than those before it.
+# Answers that name a revision which has not arrived yet. The newest ones are
+# enough, because each proves more than those before it.
 MAX_PENDING_PROOFS = 8
 
 
 class FreshnessProof:
-    """Hold that all up to a revision was known, and as of when."""
+    """Hold a revision and the time at which the store was at it."""
 
     __slots__ = ('as_of', 'revision')
 
     def __init__(self, as_of: float, revision: int) -> None:
-        """Take boot-time seconds and the store's revision then."""
+        """Initialize a proof at a boot time in seconds."""
         self.as_of = as_of
         self.revision = revision
 
 
 class Freshness:
-    """Hold the newest proof for what this host knows."""
+    """Hold the newest freshness proof of this host's records."""
 
     __slots__ = ('_clock', '_known_revision', '_pending', 'proof')
 
@@ -41,16 +41,16 @@
 
     @property
     def age_seconds(self) -> float:
-        """Return how old the knowledge may be, infinite without a proof."""
+        """Return the maximum age of the records, infinite without a proof."""
         return self._clock.boottime() - self.proof.as_of
 
     @property
     def is_behind(self) -> bool:
-        """Tell whether the store was seen ahead of what is known here."""
+        """Return whether the store is known to be ahead of this host."""
         return bool(self._pending)
 
     def record_revision(self, as_of: float, revision: int) -> None:
-        """Take the store's revision, as of when the question was sent."""
+        """Record the store's revision at the time a request was sent."""
         if as_of <= self.proof.as_of:
             return
         if revision > self._known_revision:
@@ -59,7 +59,7 @@
             self.proof = FreshnessProof(as_of, revision)
 
     def advance(self, revision: int) -> None:
-        """Take that all up to a revision is known now."""
+        """Record that all changes up to a revision have been applied."""
         self._known_revision = max(self._known_revision, revision)
         pending = list(self._pending)
         self._pending.clear()
--- a/jacinthfold/catalogue/freshness_checker.py
+++ b/jacinthfold/catalogue/freshness_checker.py
@@ -1,4 +1,4 @@
-"""Ask the store how far it is when nothing else proves what is known."""
+"""Query the store's revision when no other proof of freshness is recent."""
 
 import asyncio
 import random
@@ -10,20 +10,21 @@
 from jacinthfold.clock import Clock
 
 CHECK_INTERVAL_SECONDS = 0.4
-# After a call that failed: each call is priced, also one that is refused, and
-# of a region's hosts one that is answered is enough.
+# Refused calls are charged too, and one answered call is enough for all hosts
+# of a region.
 FAILED_CHECK_DELAY_SECONDS = (0.8, 1.4)
-# Watches of a busy store prove more often than this by themselves.
+# Watches of a busy store renew the proof more often than this.
 MAX_WATCHER_PROOF_AGE_SECONDS = 1.0
-# What neighbours prove travels by two heartbeats; older, nobody near knows.
+# A proof of a neighbour arrives within two heartbeats; if the own one is older,
+# no host nearby has a newer one.
 MAX_OTHER_PROOF_AGE_SECONDS = 2.0
-# A watch brings a change within this; else its connection is dead or the store
-# dropped what it waits for.
+# A watch delivers a change within this time, unless its connection is dead or
+# the store dropped the history it waits for.
 MAX_BEHIND_SECONDS = 1.2
 
 
 class FreshnessChecker:
-    """Keep the knowledge of a host proven while the store answers."""
+    """Keep the freshness proof of a host recent while the store answers."""
 
     def __init__(
         self,
@@ -31,17 +32,17 @@
         catalogue: Catalogue,
         clock: Clock,
     ) -> None:
-        """Take whom to ask and whose knowledge is to be proven."""
+        """Initialize a checker of one catalogue."""
         self._store = store
         self._catalogue = catalogue
         self._clock = clock
         self._behind_since: float | None = None
         self.is_needed = False
-        # Whether this host watches the store, or leaves that to neighbours.
+        # Whether this host watches the store itself.
         self.watches: Callable[[], bool] = lambda: True
 
     async def run(self) -> None:
-        """Ask whenever the proof grows old, until cancelled."""
+        """Query the store whenever the proof is old, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             if not self.is_needed or self._catalogue.routes is None:
--- a/jacinthfold/catalogue/host_codec.py
+++ b/jacinthfold/catalogue/host_codec.py
@@ -1,4 +1,4 @@
-"""Write and read entry hosts' records."""
+"""Encode and decode the records of entry hosts."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class HostDocument(msgspec.Struct):
-    """Hold a host's record as it is written."""
+    """Hold the serialized form of a host's record."""
 
     name: str
     incarnation: int
@@ -21,12 +21,12 @@
 
 
 def encode_host(host: HostRecord) -> bytes:
-    """Return a host's record as bytes."""
+    """Return a host's record as JSON."""
     return msgspec.json.encode(document_from_host(host))
 
 
 def document_from_host(host: HostRecord) -> HostDocument:
-    """Return a host's record as it is written."""
+    """Return the serialized form of a host's record."""
     return HostDocument(
         host.name,
         host.incarnation,
@@ -38,7 +38,7 @@
 
 
 def decode_host(content: bytes) -> HostRecord:
-    """Return the host in a record; raise UnreadableRecordError."""
+    """Return the host of a JSON record; raise UnreadableRecordError."""
     try:
         return host_from_document(_host_decoder.decode(content))
     except (ValueError, RecursionError) as error:
@@ -46,7 +46,7 @@
 
 
 def host_from_document(document: HostDocument) -> HostRecord:
-    """Return the host in a decoded record."""
+    """Return the host of a decoded document."""
     return HostRecord(
         document.name,
         document.incarnation,
--- a/jacinthfold/catalogue/model.py
+++ b/jacinthfold/catalogue/model.py
@@ -1,4 +1,4 @@
-"""Describe a deployment in types that say what they hold."""
+"""Define the types that describe a deployment."""
 
 import hashlib
 from collections.abc import Mapping
@@ -8,7 +8,7 @@
 
 
 class RetryPolicy(Enum):
-    """Say what may be repeated of a route's requests."""
+    """Name how much of a route's request may be retried."""
 
     NEVER = 'never'
     WHOLE = 'whole'
@@ -16,7 +16,7 @@
 
 
 class Route:
-    """Hold what the operator declared for one prefix of one host name."""
+    """Hold the configuration of one path prefix of one host name."""
 
     __slots__ = (
         'latency_objective_seconds',
@@ -41,12 +41,13 @@
         prefix: str,
         services: tuple[tuple[str, float], ...],
     ) -> None:
-        """Take where the route is found and its services with weights."""
+        """Initialize a route with its services and their weights."""
         self.name = name
         self.host_name = host_name
         self.prefix = prefix
         self.services = services
-        # Served to callers without a key, where organisations have keys.
+        # Whether callers without an API key are served, where organisations
+        # have keys.
         self.is_public = False
         self.is_stream = False
         self.retry_policy = RetryPolicy.NEVER
@@ -58,7 +59,10 @@
         self.home_regions: frozenset[str] = frozenset()
 
     def service_for(self, request_id: str) -> str:
-        """Return the service of a request, the same on every host."""
+        """Return the service of a request, chosen by weight from a hash.
+
+        Every host returns the same service for the same request id.
+        """
         if len(self.services) == 1:
             return self.services[0][0]
         total = sum(weight for _, weight in self.services)
@@ -72,7 +76,7 @@
 
 
 class Service:
-    """Hold what the operator declared for a group of equal targets."""
+    """Hold the configuration of a group of interchangeable targets."""
 
     __slots__ = (
         'cold_requests_per_second',
@@ -85,26 +89,26 @@
     )
 
     def __init__(self, name: str) -> None:
-        """Take the name; the rest has defaults of a plain service."""
+        """Initialize a plain service with default settings."""
         self.name = name
         self.connection_limit = 0
         self.cold_seconds = 0.0
         self.cold_requests_per_second = 0.0
-        # Both are 0 where the service runs no model.
+        # Both are 0 if the service runs no model.
         self.slots = 0
         self.kv_cache_tokens = 0
-        # What a target needs to copy a token that another one keeps; None
-        # where targets can't copy.
+        # Time to copy a cached token from another target; None if targets
+        # can't copy.
         self.copy_seconds_per_token: float | None = None
 
     @property
     def is_engine(self) -> bool:
-        """Tell whether the targets run a model on prompts."""
+        """Return whether the targets are model engines."""
         return self.kv_cache_tokens > 0
 
 
 class CallerLimits:
-    """Hold what a caller may send and how long it may take."""
+    """Hold the size and time limits of callers' connections."""
 
     __slots__ = (
         'body_bytes',
@@ -120,7 +124,7 @@
         head_timeout_seconds: float = 5.0,
         idle_timeout_seconds: float = 30.0,
     ) -> None:
-        """Take the limits; the defaults hold before any configuration."""
+        """Initialize limits; the defaults apply before any configuration."""
         self.head_bytes = head_bytes
         self.body_bytes = body_bytes
         self.head_timeout_seconds = head_timeout_seconds
@@ -147,7 +151,7 @@
         limits: CallerLimits,
         organisations: OrganisationTable | None = None,
     ) -> None:
-        """Take the parts and index the routes by host name."""
+        """Initialize a version and index its routes by host name."""
         self.version = version
         self.routes = routes
         self.services = dict(services)
@@ -158,14 +162,17 @@
             self._by_host.setdefault(route.host_name, []).append(route)
 
     def find(self, host_name: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path."""
+        """Return the route with the longest matching prefix of a path."""
         for route in self._by_host.get(host_name, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def common_home_regions(self, host_name: str) -> frozenset[str] | None:
-        """Return regions that every homed route of a host name allows."""
+        """Return the home regions that a host name's routes have in common.
+
+        Routes without home regions are ignored; None if no route has any.
+        """
         home_region_sets = [
             route.home_regions
             for route in self._by_host.get(host_name, ())
@@ -177,7 +184,7 @@
 
 
 class TargetRecord:
-    """Hold what a target tells of itself."""
+    """Hold what a target reports about itself."""
 
     __slots__ = (
         'address',
@@ -198,11 +205,11 @@
         address: tuple[str, int],
         data_centre: str,
     ) -> None:
-        """Take which target this is, and where it is."""
+        """Initialize the record of a target at an address."""
         self.instance = instance
-        # When this life began, Unix milliseconds of the target's clock. A
-        # target may start again as the same instance; it then knows nothing
-        # of before. None where targets don't tell.
+        # Start time of this incarnation, Unix milliseconds of the target's
+        # clock. A target may restart as the same instance without any state
+        # of the earlier one. None if the target does not report it.
         self.started_at_ms: int | None = None
         self.service = service
         self.address = address
@@ -214,14 +221,14 @@
 
     @property
     def incarnation_id(self) -> str:
-        """Return a name for this life of the instance."""
+        """Return the identifier of this incarnation of the instance."""
         if self.started_at_ms is None:
             return self.instance
         return f'{self.instance}/{self.started_at_ms}'
 
 
 class HostRecord:
-    """Hold how an entry host is reached."""
+    """Hold the location, address and ports of an entry host."""
 
     __slots__ = (
         'address',
@@ -242,7 +249,10 @@
         address: str,
         ports: tuple[int, int, int],
     ) -> None:
-        """Take (region, data centre) and (caller, relay, control) ports."""
+        """Initialize a host with (region, data centre) and its ports.
+
+        The ports are (caller, relay, control).
+        """
         self.name = name
         self.incarnation = incarnation
         self.region = location[0]
--- a/jacinthfold/catalogue/records.py
+++ b/jacinthfold/catalogue/records.py
@@ -1,4 +1,4 @@
-"""Keep the store's records as this host knows them."""
+"""Hold this host's copy of the metadata store's records."""
 
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
@@ -10,30 +10,30 @@
 from jacinthfold.catalogue.model import HostRecord, RouteTable, TargetRecord
 from jacinthfold.clock import Clock
 
-# Removals that are remembered for hosts that ask what changed.
+# Removals remembered to answer hosts that request changes.
 MAX_REMEMBERED_REMOVALS = 500
-# Characters of a key that a log line shows; another writer's may be long.
+# Keys of other writers may be long; log lines show no more than this.
 MAX_LOGGED_KEY_CHARACTERS = 80
 
 
 class Record:
-    """Hold one item of the store; no content means it was removed."""
+    """Hold one record of the store; no content means it was removed."""
 
     __slots__ = ('content', 'key', 'revision')
 
     def __init__(self, key: str, revision: int, content: bytes | None) -> None:
-        """Take the key, the revision of the last change and the bytes."""
+        """Initialize a record with the revision of its last change."""
         self.key = key
         self.revision = revision
         self.content = content
 
 
 class UnreadableRecordError(ValueError):
-    """Say that a record is not what its key promises."""
+    """Report a record whose content does not fit its key."""
 
 
 class RecordKind(Enum):
-    """Say what a record is about."""
+    """Name what a record describes."""
 
     ROUTES = 'routes'
     TARGET = 'target'
@@ -45,45 +45,45 @@
 
 
 class RecordReader(Protocol):
-    """Turn records into types; raise UnreadableRecordError."""
+    """Decode records; methods raise UnreadableRecordError."""
 
     def kind_of(self, key: str) -> tuple[RecordKind, str]:
-        """Return what a key is about and the name within that kind."""
+        """Return the kind of a key and the name within that kind."""
 
     def read_routes(self, content: bytes) -> RouteTable:
         """Return the operator's configuration."""
 
     def read_target(self, name: str, content: bytes) -> TargetRecord:
-        """Return what a target tells of itself."""
+        """Return the record of a target."""
 
 
 class CatalogueListener(Protocol):
-    """Hear of changes, in the order of the store's revisions."""
+    """Receive changes in the order of the store's revisions."""
 
     def on_routes(self, table: RouteTable) -> None:
-        """Take a newer configuration."""
+        """Handle a newer configuration."""
 
     def on_target(self, record: TargetRecord) -> None:
-        """Take a target that came or changed."""
+        """Handle a target that was added or changed."""
 
     def on_target_removed(self, instance: str) -> None:
-        """Take that a target's record is gone."""
+        """Handle the removal of a target's record."""
 
     def on_evacuation(self, data_centre: str, is_evacuated: bool) -> None:
-        """Take that a data centre is evacuated or taken back."""
+        """Handle the start or end of a data centre's evacuation."""
 
     def on_host(self, record: HostRecord | None, name: str) -> None:
-        """Take an entry host's record, or that it is gone."""
+        """Handle an entry host's record, None if it was removed."""
 
     def on_quarantine(self, name: str, content: bytes | None) -> None:
-        """Take a record on requests under which targets ended."""
+        """Handle a record of requests during which targets crashed."""
 
     def on_issuer(self, name: str, record: Record) -> None:
-        """Take which host issues shares of caps, or that none does."""
+        """Handle the record of the host that issues shares of caps."""
 
 
 class Catalogue:
-    """Hold records by key and tell a listener what changes."""
+    """Hold records by key and notify listeners of changes."""
 
     def __init__(
         self,
@@ -91,14 +91,14 @@
         read_host: Callable[[bytes], HostRecord],
         clock: Clock,
     ) -> None:
-        """Take the reader of records; nothing is known yet."""
+        """Start without records."""
         self._reader = reader
         self._read_host = read_host
         self._clock = clock
         self._records: dict[str, Record] = {}
         self._listeners: list[CatalogueListener] = []
         self._removals: deque[Record] = deque()
-        # Every removal after this revision is remembered.
+        # All removals after this revision are in the queue.
         self._removals_since = 0
         self.revision = 0
         self.changed_at = clock.monotonic()
@@ -107,33 +107,33 @@
         self.evacuated: frozenset[str] = frozenset()
 
     def subscribe(self, listener: CatalogueListener) -> None:
-        """Tell a listener of each change from now on."""
+        """Notify a listener of each change from now on."""
         self._listeners.append(listener)
 
     def records(self) -> list[Record]:
-        """Return every record that is known."""
+        """Return all records."""
         return list(self._records.values())
 
     def changes_since(self, revision: int) -> list[Record] | None:
-        """Return what changed after a revision, None if not all is known."""
+        """Return changes after a revision, None if some are forgotten."""
         if revision < self._removals_since:
             return None
         known = [*self._records.values(), *self._removals]
         return [record for record in known if record.revision > revision]
 
     def apply(self, records: Iterable[Record], revision: int) -> None:
-        """Take changes up to a revision of the store."""
+        """Apply changes up to a revision of the store."""
         for record in sorted(records, key=_by_revision):
             self._apply_one(record)
         self._advance(revision)
 
     def replace(self, records: Iterable[Record], revision: int) -> None:
-        """Take a whole list, read no earlier than the revision says."""
-        # A list older than what is known would bring back removed records:
-        # requests would go to targets that left.
+        """Replace all records by a list read at a revision or later."""
+        # A list older than the current records would restore removed ones,
+        # and requests would be sent to targets that are gone.
         if revision < self.revision:
             return
-        # What was removed before the list was made is not in it.
+        # Removals before the list was read are not in it.
         self._removals_since = max(self._removals_since, revision)
         listed = list(records)
         listed_keys = {record.key for record in listed}
@@ -177,10 +177,10 @@
                 self._withdraw(record)
 
     def _withdraw(self, record: Record) -> None:
-        """Take that a record no longer says what it said before."""
-        # Left as it was, a target whose entry another writer spoiled would
-        # keep getting requests that nobody vouches for any more. It comes
-        # back with its own next entry.
+        """Notify listeners that a record became unreadable."""
+        # Otherwise a target whose record another writer corrupted would keep
+        # getting requests on outdated data. It is added again when it next
+        # writes its own record.
         kind, name = self._reader.kind_of(record.key)
         for listener in self._listeners:
             if kind is RecordKind.TARGET:
@@ -205,7 +205,7 @@
         if record.content is None:
             return
         table = self._reader.read_routes(record.content)
-        # A version that falls back would undo what callers already saw.
+        # An older version would undo changes that callers already saw.
         if self.routes is not None and table.version <= self.routes.version:
             return
         self.routes = table
