--- a/jacinthfold/fleet/__init__.py
+++ b/jacinthfold/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Know the other entry hosts and tell callers about them."""
+"""Discover the other entry hosts and list them for callers."""
--- a/jacinthfold/fleet/aggregation.py
+++ b/jacinthfold/fleet/aggregation.py
@@ -1,4 +1,4 @@
-"""Sum what the hosts of the own data centre tell."""
+"""Aggregate the heartbeats of the own data centre into digests."""
 
 from collections.abc import Iterable, Mapping
 
@@ -12,16 +12,16 @@
 from jacinthfold.placement.law import SUMS_SECONDS
 from jacinthfold.placement.request_limit import LimitWord
 
-# A host's address is told in each digest for this long after it was first
-# heard, and in every fifth one after that.
+# A digest includes a host's endpoint for this long after its first heartbeat;
+# after that only every fifth digest does.
 NEW_HOST_SECONDS = 2.0
 ENDPOINT_INTERVAL_DIGESTS = 5
-# Laws and read tokens change over seconds.
+# Latency models and prefilled tokens change only over seconds.
 FULL_INTERVAL_DIGESTS = 5
 
 
 class _Member:
-    """Hold one host's latest heartbeat."""
+    """Hold the latest heartbeat of one host."""
 
     __slots__ = (
         'first_heard_at',
@@ -49,41 +49,41 @@
 
 
 class HeartbeatAggregator:
-    """Keep the latest heartbeats of a data centre, and make its digests."""
+    """Hold the latest heartbeats of a data centre and sum them up."""
 
     def __init__(self, own: HostRecord) -> None:
-        """Take the host that may be asked to make digests."""
+        """Initialize an aggregator on a host that may be a collector."""
         self._own = own
         self._members: dict[str, _Member] = {}
         self._uses = RecentUses()
-        # Tokens that targets have read for members since they were first
-        # heard here.
+        # Tokens that targets prefilled for members since this host first
+        # received their heartbeats.
         self._prefilled_tokens: dict[str, float] = {}
         self._count = 0
 
     def add(self, heartbeat: Heartbeat, now: float) -> None:
-        """Take a heartbeat of a host of the own data centre."""
+        """Add a heartbeat of a host of the own data centre."""
         name = heartbeat.host.name
         member = self._members.get(name)
         if member is None or _is_older(member, heartbeat):
             member = _Member(heartbeat, now)
             self._members[name] = member
-            # What it has read before was told by others.
+            # Other collectors reported what was prefilled before.
             member.prefilled_tokens = dict(heartbeat.read_tokens)
         elif heartbeat.host.incarnation != member.heartbeat.host.incarnation:
             return
         member.update(heartbeat, now)
         self._add_prefilled_tokens(member, heartbeat.read_tokens)
-        for life, names in heartbeat.uses.items():
+        for incarnation_id, names in heartbeat.uses.items():
             for segment_name in names:
-                self._uses.note_told(life, segment_name, now)
+                self._uses.note_told(incarnation_id, segment_name, now)
 
     def make_digest(self, now: float, rank: int) -> Digest:
-        """Return what was heard, as told by a collector of a rank."""
+        """Return the next digest of this host as a collector of a rank."""
         self._drop_silent(now)
         self._count += 1
         own = self._own
-        made = Digest(
+        digest = Digest(
             own.region,
             own.data_centre,
             own.name,
@@ -98,11 +98,11 @@
             uses=self._uses.by_life(now),
             limits=self._limits(now),
         )
-        made.is_full = self._count % FULL_INTERVAL_DIGESTS == 0
-        if made.is_full:
-            made.read_tokens = self._current_prefilled_tokens()
-            made.laws = self._latency_models(now)
-        return made
+        digest.is_full = self._count % FULL_INTERVAL_DIGESTS == 0
+        if digest.is_full:
+            digest.read_tokens = self._current_prefilled_tokens()
+            digest.laws = self._latency_models(now)
+        return digest
 
     def _drop_silent(self, now: float) -> None:
         for name, member in list(self._members.items()):
@@ -112,23 +112,23 @@
     def _add_prefilled_tokens(
         self, member: _Member, read_tokens: Mapping[str, float]
     ) -> None:
-        for life, tokens in read_tokens.items():
-            growth = tokens - member.prefilled_tokens.get(life, 0.0)
-            total = self._prefilled_tokens.get(life, 0.0)
-            self._prefilled_tokens[life] = total + max(0.0, growth)
-            member.prefilled_tokens[life] = tokens
+        for incarnation_id, tokens in read_tokens.items():
+            growth = tokens - member.prefilled_tokens.get(incarnation_id, 0.0)
+            total = self._prefilled_tokens.get(incarnation_id, 0.0)
+            self._prefilled_tokens[incarnation_id] = total + max(0.0, growth)
+            member.prefilled_tokens[incarnation_id] = tokens
 
     def _current_prefilled_tokens(self) -> dict[str, float]:
-        # Lives that no member names any more are gone.
+        # Incarnations that no member reports any more are gone.
         reported = {
-            life
+            incarnation_id
             for member in self._members.values()
-            for life in member.prefilled_tokens
+            for incarnation_id in member.prefilled_tokens
         }
         self._prefilled_tokens = {
-            life: tokens
-            for life, tokens in self._prefilled_tokens.items()
-            if life in reported
+            incarnation_id: tokens
+            for incarnation_id, tokens in self._prefilled_tokens.items()
+            if incarnation_id in reported
         }
         return self._prefilled_tokens
 
@@ -148,15 +148,15 @@
         return sums
 
     def _limits(self, now: float) -> dict[str, LimitWord]:
-        """Return the newest word of all members on each target's limit."""
+        """Return the members' newest report of each target's limit."""
         newest: dict[str, LimitWord] = {}
         for member in self._members.values():
             held_ms = round((now - member.heard_at) * 1000)
-            for life, reported in member.heartbeat.limits.items():
+            for incarnation_id, reported in member.heartbeat.limits.items():
                 report = (reported[0], reported[1] + held_ms, reported[2])
-                known = newest.get(life)
+                known = newest.get(incarnation_id)
                 if known is None or report[1] < known[1]:
-                    newest[life] = report
+                    newest[incarnation_id] = report
         return newest
 
     def _latency_models(self, now: float) -> dict[str, list[float]]:
@@ -191,12 +191,12 @@
 def _add_loads(
     sums: dict[str, LoadFigures], loads: Mapping[str, LoadFigures]
 ) -> None:
-    for life, figures in loads.items():
-        known = sums.get(life)
+    for incarnation_id, figures in loads.items():
+        known = sums.get(incarnation_id)
         if known is None:
-            sums[life] = figures
+            sums[incarnation_id] = figures
             continue
-        sums[life] = (
+        sums[incarnation_id] = (
             known[0] + figures[0],
             known[1] + figures[1],
             known[2] + figures[2],
--- a/jacinthfold/fleet/digest_exchange.py
+++ b/jacinthfold/fleet/digest_exchange.py
@@ -1,4 +1,4 @@
-"""Send digests as a collector, and take in those of others."""
+"""Send digests as a collector and receive those of other collectors."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -16,17 +16,18 @@
 from jacinthfold.fleet.table import HostEntry, HostTable
 from jacinthfold.quarantine.ends import SuspectWord
 
-# Hosts of another data centre that hear a digest while nobody there is heard.
+# Hosts of another data centre that get a digest while no collector is known
+# there.
 FALLBACK_FANOUT = 3
-# The second collector tells every third time, to be known when the first is
-# gone.
+# The second collector sends every third digest, so that others already know its
+# state when the first one fails.
 SECONDARY_INTERVAL_DIGESTS = 3
 
 Endpoint = tuple[str, int]
 
 
 class DigestExchange:
-    """Tell what was gathered, and hear what others gathered."""
+    """Send the own digests and apply and forward received ones."""
 
     def __init__(
         self,
@@ -38,7 +39,7 @@
         send: Callable[[bytes, Endpoint], None],
         clock: Clock,
     ) -> None:
-        """Take who collects, what is told and heard, and how it is sent."""
+        """Initialize an exchange that sends datagrams by a callback."""
         self._hosts = hosts
         self._collectors = collectors
         self._aggregator = aggregator
@@ -53,7 +54,7 @@
         )
 
     def send_digest(self, rank: int) -> None:
-        """Send a digest to those that are due, as a collector of a rank."""
+        """Send the next digest as a collector of a rank, if one is due."""
         self._count += 1
         if rank and self._count % SECONDARY_INTERVAL_DIGESTS:
             return
@@ -82,7 +83,7 @@
             )
 
     def receive(self, content: bytes, sender_address: str) -> None:
-        """Take a datagram's digests; raise ValueError."""
+        """Apply the digests of a datagram; raise ValueError."""
         digests = decode_digests(content)
         for digest in digests:
             if digest.collector != self._hosts.own.name:
@@ -95,18 +96,19 @@
     def _forwarders(
         self, data_centre: str, entries: list[HostEntry]
     ) -> list[HostEntry]:
-        """Return who passes digests on in another data centre."""
+        """Return the hosts that forward digests in another data centre."""
         names = self._collectors.select(data_centre)
         if names:
             return self._hosts.entries(names)
-        # After a cut nobody there is heard, and nobody would begin.
+        # After a partition no host there is known to be live, and without this
+        # neither side would start to send.
         count = min(FALLBACK_FANOUT, len(entries))
         return self._random.sample(entries, count)
 
     def _forward(self, digest: Digest, content: bytes) -> None:
-        """Give the digest of another data centre to those that tell of it."""
-        # Only when it comes from its maker: hosts that differ in who collects
-        # would pass it back and forth.
+        """Forward another data centre's digest to the own collectors."""
+        # Only digests that come directly from their collector: hosts that
+        # disagree on the collectors would forward them in a loop.
         own = self._hosts.own
         names = self._collectors.select(own.data_centre)
         if digest.data_centre != own.data_centre and own.name not in names:
--- a/jacinthfold/fleet/digest_message.py
+++ b/jacinthfold/fleet/digest_message.py
@@ -1,4 +1,4 @@
-"""Write and read digests: what a collector heard of its data centre's hosts."""
+"""Encode and decode digests, which summarize a data centre's heartbeats."""
 
 import msgspec
 
@@ -16,7 +16,7 @@
 
 
 class HostSummary(msgspec.Struct, array_like=True):
-    """Hold what a collector last heard of one host."""
+    """Hold the last heartbeat of one host, as its collector received it."""
 
     name: str
     incarnation: int
@@ -26,47 +26,47 @@
     reaches_store: bool
     supports_compression: bool
     supports_digests: bool
-    # Number of the heartbeat whose load is part of the digest's sums.
+    # Number of the heartbeat whose loads the digest's sums include.
     heartbeat_number: int
 
 
 class Digest(msgspec.Struct):
-    """Hold one data centre's hosts, and sums over them.
+    """Hold the hosts of one data centre and sums over their heartbeats.
 
-    A host of the version before leaves out fields that are new, and passes
-    over those that it does not know: new fields need a default.
+    Hosts of the previous version omit new fields and ignore those they do not
+    know, so new fields need a default.
     """
 
     region: str
     data_centre: str
-    # The host that made it, its start, and where it is reached.
+    # Name, incarnation and address of the collector that made it.
     collector: str
     incarnation: int
     address: str
-    # Its place among the collectors, 0 for the first.
+    # Rank among the collectors, 0 for the first.
     rank: int
-    # Number of this digest since its maker started.
+    # Sequence number since the collector started.
     count: int
-    # Time since it was made, for those that pass it on.
+    # Age when it is forwarded.
     age_ms: int
     hosts: list[HostSummary]
-    # How hosts are reached: new ones at once, all now and then.
+    # Endpoints: those of new hosts in each digest, all of them periodically.
     places: list[HostDocument] = []
-    # Sums by the life of a target.
+    # Sums by incarnation of a target.
     loads: dict[str, LoadFigures] = {}
-    # Names of long shared parts sent to lives of targets of late.
+    # Names of long shared prefixes recently sent to each incarnation.
     uses: dict[str, list[str]] = {}
-    # Whether it tells the rest, which comes now and then.
+    # Whether it has the fields that are sent only periodically.
     is_full: bool = False
-    # Prompt tokens read since the maker started.
+    # Prefilled tokens by incarnation since the collector started.
     read_tokens: dict[str, float] = {}
-    # Sums of what answers say of each service's engines.
+    # Sums for the latency model of each service's engines.
     laws: dict[str, list[float]] = {}
-    # Requests under which targets ended.
+    # Requests during which targets crashed.
     suspects: list[SuspectWord] = []
-    # Limits that targets named to these hosts, by the life of a target.
+    # Limits that targets reported to these hosts, by incarnation.
     limits: dict[str, LimitWord] = {}
-    # How old its maker's knowledge of the store was.
+    # Freshness proof of the collector.
     proof: ProofReport | None = None
 
 
@@ -80,12 +80,12 @@
 
 
 def encode_digests(digests: list[Digest]) -> bytes:
-    """Return digests for hosts that read them."""
+    """Return digests as one compressed datagram."""
     return DIGEST_MARK + deflate(msgspec.msgpack.encode(Digests(digests)))
 
 
 def decode_digests(content: bytes) -> list[Digest]:
-    """Return the digests of a datagram; raise ValueError."""
+    """Decode the digests of a datagram; raise ValueError."""
     try:
         return _decoder.decode(inflate(content[len(DIGEST_MARK) :])).digests
     except RecursionError as error:
--- a/jacinthfold/fleet/digests.py
+++ b/jacinthfold/fleet/digests.py
@@ -1,4 +1,4 @@
-"""Take in the digests of the own region's data centres."""
+"""Apply the digests of the own region's data centres."""
 
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
@@ -13,44 +13,45 @@
 from jacinthfold.placement.targets import TargetTable
 from jacinthfold.quarantine.ends import SuspectWord
 
-# A data centre's first collector tells every 0.2 s; after three that did not
-# come another one's digest is taken.
+# The first collector of a data centre sends every 0.2 s. After three missing
+# digests the one of another collector is used.
 DIGEST_TIMEOUT_SECONDS = 0.7
-# A host whose collectors did not tell of it for this long tells all others by
-# itself: they would drop it after two seconds.
+# A host that no digest includes for this long sends to all others itself,
+# because they would drop it after two seconds.
 INCLUDED_SECONDS = 1.0
-# A collector that hears a tenth fewer hosts than another one is cut off from
+# A collector that covers a tenth fewer hosts than another one is cut off from
 # some of them.
 MIN_COVERAGE_RATIO = 0.9
-# Own heartbeats whose loads are remembered: two seconds of them.
+# Two seconds of own heartbeats.
 MAX_REMEMBERED_HEARTBEATS = 10
 
 
 class OwnLoads:
-    """Remember what the own latest heartbeats told."""
+    """Remember the loads that the latest own heartbeats reported."""
 
-    # Sums of a digest hold what this host had sent some heartbeats ago. Added
-    # to what it has out now, its own requests would count twice.
+    # The sums of a digest include the loads that this host reported some
+    # heartbeats ago. They are subtracted, or the own requests would count
+    # twice.
 
     __slots__ = ('_sent',)
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without heartbeats."""
         self._sent: deque[tuple[int, Mapping[str, LoadFigures]]] = deque(
             maxlen=MAX_REMEMBERED_HEARTBEATS
         )
 
     def record(self, count: int, loads: Mapping[str, LoadFigures]) -> None:
-        """Take what a heartbeat tells."""
+        """Record the loads of an own heartbeat by its number."""
         self._sent.append((count, loads))
 
     def at(self, count: int) -> Mapping[str, LoadFigures]:
-        """Return what a heartbeat told, nothing if it is forgotten."""
+        """Return the loads of a heartbeat, none if it is forgotten."""
         return dict(self._sent).get(count, {})
 
 
 class _CurrentDigest:
-    """Hold the digest that is gone by for a data centre."""
+    """Hold the digest that is in use for a data centre."""
 
     __slots__ = ('included', 'digest', 'made_at', 'received_at')
 
@@ -66,12 +67,12 @@
 
 
 class DigestView:
-    """Choose among the digests of a data centre and go by them."""
+    """Choose the best digest of each data centre and apply it."""
 
     def __init__(
         self, hosts: HostTable, targets: TargetTable, clock: Clock
     ) -> None:
-        """Take what digests change."""
+        """Initialize a view that updates hosts and targets."""
         self._hosts = hosts
         self._targets = targets
         self._clock = clock
@@ -80,10 +81,10 @@
         self.on_suspects: Callable[[list[SuspectWord]], None] = _ignore_suspects
 
     def apply(self, digest: Digest) -> None:
-        """Take a digest if it is the better one of its data centre."""
+        """Apply a digest if it is better than the one in use."""
         if digest.region != self._hosts.own.region:
             return
-        # Whoever made the digest: these words add up.
+        # Reports of suspects add up, whichever collector sent them.
         self.on_suspects(digest.suspects)
         now = self._clock.monotonic()
         candidate = _CurrentDigest(digest, now)
@@ -100,7 +101,7 @@
         self._update_loads(candidate)
 
     def includes(self, name: str) -> bool:
-        """Tell whether digests already hold what a host tells."""
+        """Return whether current digests include a host's loads."""
         now = self._clock.monotonic()
         return any(
             name in current.included
@@ -109,7 +110,7 @@
         )
 
     def includes_own(self) -> bool:
-        """Tell whether the own data centre's collectors tell of this host."""
+        """Return whether the own data centre's digest includes this host."""
         own = self._hosts.own
         current = self._current.get(own.data_centre)
         if current is None or own.name not in current.included:
@@ -117,7 +118,7 @@
         return self._clock.monotonic() - current.made_at < INCLUDED_SECONDS
 
     def others(self) -> list[Digest]:
-        """Return the newest digests of other data centres, to pass on."""
+        """Return current digests of other data centres for forwarding."""
         now = self._clock.monotonic()
         found = []
         for name, current in self._current.items():
@@ -141,17 +142,19 @@
         digest, targets = current.digest, self._targets
         own = self._own_loads_in(digest.hosts)
         loads = {
-            life: _without(figures, own.get(life))
-            for life, figures in digest.loads.items()
+            incarnation_id: _without(figures, own.get(incarnation_id))
+            for incarnation_id, figures in digest.loads.items()
         }
         reporter = f'sum of {digest.data_centre}'
         targets.take_report(reporter, loads, current.made_at)
-        # The own reading and answers are a small part of both; they weigh
-        # twice.
+        # The own prefills and answers are in both sums and count twice, which
+        # is acceptable because they are a small share.
         targets.take_uses(reporter, {}, digest.uses)
         if digest.is_full:
-            maker = (digest.collector, digest.incarnation)
-            targets.take_totals(digest.data_centre, maker, digest.read_tokens)
+            collector_incarnation = (digest.collector, digest.incarnation)
+            targets.take_totals(
+                digest.data_centre, collector_incarnation, digest.read_tokens
+            )
         targets.laws.take_sums(reporter, digest.laws, current.made_at)
 
     def _own_loads_in(
@@ -175,7 +178,8 @@
         return one.count > other.count
     if now - known.received_at > DIGEST_TIMEOUT_SECONDS:
         return True
-    # Who hears few hosts is cut off or has just begun, whatever its rank.
+    # A collector with few hosts is cut off or has just started, whatever its
+    # rank.
     if len(known.included) < len(candidate.included) * MIN_COVERAGE_RATIO:
         return True
     is_covering = (
@@ -206,4 +210,4 @@
 
 
 def _ignore_suspects(_: list[SuspectWord]) -> None:
-    """Take words on requests and keep none."""
+    """Drop reports of suspects until a handler is set."""
--- a/jacinthfold/fleet/directory.py
+++ b/jacinthfold/fleet/directory.py
@@ -1,4 +1,4 @@
-"""Tell callers which entry hosts to use."""
+"""Resolve callers to entry hosts."""
 
 import random
 from collections.abc import Callable
@@ -8,10 +8,12 @@
 from jacinthfold.fleet.table import HostTable
 
 MAX_ADDRESSES = 64
-# One host of the nearest data centre is a single point; with two or more the
-# caller stays near, which spares traffic between data centres.
+# A single host of the nearest data centre would be a single point of failure.
+# With two or more the caller stays there, which saves traffic between data
+# centres.
 MIN_NEARBY_HOSTS = 2
-# Callers ask again after this. Longer answers name hosts that left for longer.
+# Callers resolve again after this; a longer time would list departed hosts
+# longer.
 DIRECTORY_TTL_SECONDS = 2
 
 
@@ -21,7 +23,7 @@
     def __init__(
         self, hosts: HostTable, catalogue: Catalogue, source: random.Random
     ) -> None:
-        """Take the hosts and what is known of routes."""
+        """Initialize a directory of the hosts of a table."""
         self._hosts = hosts
         self._catalogue = catalogue
         self._random = source
@@ -30,7 +32,10 @@
     def resolve(
         self, host_name: str, region: str, data_centre: str
     ) -> list[HostRecord]:
-        """Return hosts for a caller, none if none is known to serve."""
+        """Return hosts for a caller in random order, nearest ones only.
+
+        The list is empty if no allowed host is known to serve.
+        """
         near = self._reaching_store(self._hosts.serving(region))
         same = [one for one in near if one.data_centre == data_centre]
         chosen = same if len(same) >= MIN_NEARBY_HOSTS else near
@@ -40,9 +45,9 @@
         return chosen[:MAX_ADDRESSES]
 
     def _reaching_store(self, hosts: list[HostRecord]) -> list[HostRecord]:
-        """Return the hosts that reach the store, all if none does."""
-        # A host that can't hear of keys that are taken away soon serves no
-        # request with a key: callers led to it would be sent away again.
+        """Return the hosts that reach the store, all of them if none does."""
+        # A host that cannot learn of revoked keys soon rejects all requests
+        # with a key, so callers sent to it would be turned away.
         names = {
             entry.record.name
             for entry in self._hosts.others()
@@ -53,9 +58,9 @@
         return [one for one in hosts if one.name in names] or hosts
 
     def _in_other_regions(self, host_name: str) -> list[HostRecord]:
-        # A host that has just started knows no routes, and so no homes: led
-        # by it to a region where theirs may not be served, callers would stay
-        # there for seconds. Another host, or this one in a moment, knows.
+        # A host that has just started has no routes and no home regions. It
+        # could send callers to a region that must not serve them, where they
+        # would stay for seconds. Other hosts, or this one soon, know better.
         if self._catalogue.routes is None:
             return []
         allowed = self._catalogue.routes.common_home_regions(host_name)
--- a/jacinthfold/fleet/freshness_exchange.py
+++ b/jacinthfold/fleet/freshness_exchange.py
@@ -1,8 +1,8 @@
-"""Learn from neighbours as of when the store's state is known.
+"""Share freshness proofs of the store with neighbouring hosts.
 
-A neighbour's word "so many milliseconds ago" says nothing by itself: it may
-have lain on its way, or in the buffer of a host that stood still. It counts
-from the moment at which this host sent the message that is named as heard.
+The age that a neighbour reports is not enough by itself: the message may have
+been delayed in the network or in the buffer of a suspended host. The age counts
+from the time at which this host sent the message that the report acknowledges.
 """
 
 from collections import OrderedDict
@@ -13,17 +13,17 @@
 from jacinthfold.fleet.digest_message import Digest
 from jacinthfold.fleet.heartbeat_message import Heartbeat, ProofReport, Receipt
 
-# Own messages whose times are remembered: four seconds of heartbeats.
+# Four seconds of own heartbeats.
 MAX_REMEMBERED_SEND_TIMES = 20
-# Hosts of a data centre whose messages are named as heard.
+# Hosts of a data centre whose messages a heartbeat acknowledges.
 MAX_PENDING_RECEIPTS = 32
-# Enough of a life's number to tell it from the one before.
+# Enough bits to tell an incarnation from the one before.
 _INCARNATION_MASK = 0xFFFFFF
 _MS = 1000
 
 
 class _SendTimes:
-    """Hold when messages left, by their number."""
+    """Hold the send times of own messages by number."""
 
     __slots__ = ('_times',)
 
@@ -31,7 +31,7 @@
         self._times: OrderedDict[int, float] = OrderedDict()
 
     def record(self, count: int, sent_at: float) -> None:
-        # The first time counts: one number may be sent twice.
+        # A number may be sent twice; the first time counts.
         self._times.setdefault(count, sent_at)
         if len(self._times) > MAX_REMEMBERED_SEND_TIMES:
             self._times.popitem(last=False)
@@ -41,12 +41,12 @@
 
 
 class FreshnessExchange:
-    """Tell neighbours how old the own proof is, and go by theirs."""
+    """Send the age of the own proof and apply those of neighbours."""
 
     def __init__(
         self, own: HostRecord, freshness: Freshness, clock: Clock
     ) -> None:
-        """Take whose proof is told and made newer."""
+        """Initialize the exchange of a host's freshness proof."""
         self._own = own
         self._incarnation = own.incarnation & _INCARNATION_MASK
         self._freshness = freshness
@@ -55,11 +55,11 @@
         self._digest_send_times = _SendTimes()
         self._heard_beats: OrderedDict[str, Receipt] = OrderedDict()
         self._heard_digests: OrderedDict[str, Receipt] = OrderedDict()
-        # Only where a proof is asked for: it costs bytes.
+        # Proofs add bytes to messages; they are sent only if needed.
         self.is_enabled = False
 
     def fill_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Add the own proof and what was heard to a heartbeat."""
+        """Add the own proof and pending receipts to a heartbeat."""
         if not self.is_enabled:
             return
         self._heartbeat_send_times.record(
@@ -68,19 +68,19 @@
         heartbeat.proof = self._own_report()
         heartbeat.heard_beats = dict(self._heard_beats)
         heartbeat.heard_digests = dict(self._heard_digests)
-        # A message is named once: the next one that is heard says more.
+        # Each message is acknowledged once; the next one gives a newer receipt.
         self._heard_beats.clear()
         self._heard_digests.clear()
 
     def fill_digest(self, digest: Digest) -> None:
-        """Add the own proof to a digest that this host makes."""
+        """Add the own proof to a digest of this host."""
         if not self.is_enabled:
             return
         self._digest_send_times.record(digest.count, self._clock.boottime())
         digest.proof = self._own_report()
 
     def receive_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take a near host's heartbeat."""
+        """Apply the proof and receipts of a heartbeat of the own region."""
         if not self.is_enabled:
             return
         host = heartbeat.host
@@ -96,7 +96,7 @@
         self._apply(heartbeat.proof, digest_receipt, self._digest_send_times)
 
     def receive_digest(self, digest: Digest) -> None:
-        """Take a digest of the own data centre."""
+        """Apply the proof of a digest of the own data centre."""
         if not self.is_enabled or digest.collector == self._own.name:
             return
         receipt = (digest.incarnation & _INCARNATION_MASK, digest.count)
@@ -127,7 +127,7 @@
         age_seconds = self._freshness.age_seconds
         if age_seconds == float('inf'):
             return None
-        # Rounded up: a proof must not seem newer than it is.
+        # Rounded up, because a proof must not seem newer than it is.
         age_ms = int(age_seconds * _MS) + 1
         return age_ms, self._freshness.proof.revision
 
--- a/jacinthfold/fleet/heartbeat_builder.py
+++ b/jacinthfold/fleet/heartbeat_builder.py
@@ -1,4 +1,4 @@
-"""Fill heartbeats with what this host knows."""
+"""Build the heartbeats of this host."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -18,16 +18,16 @@
 
 
 class CapacitySource(Protocol):
-    """Say what room this region has."""
+    """Report the spare capacity of this region."""
 
     def least_wait_seconds(
         self, service: str, *, is_urgent: bool
     ) -> float | None:
-        """Return the least wait in seconds, None where nothing serves."""
+        """Return the least expected wait, None if no target serves."""
 
 
 class HeartbeatBuilder:
-    """Make the heartbeats of this host."""
+    """Build heartbeats from the current state of this host."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         capacity_source: CapacitySource,
         clock: Clock,
     ) -> None:
-        """Take what heartbeats tell of."""
+        """Initialize a builder with the sources of heartbeats."""
         self._hosts = hosts
         self._catalogue = catalogue
         self._targets = targets
@@ -48,7 +48,7 @@
         self.suspects = Suspects(clock)
 
     def for_own_region(self, count: int, *, is_full: bool) -> Heartbeat:
-        """Return what the own region is told."""
+        """Return a heartbeat for hosts of the own region."""
         heartbeat = self._heartbeat(count)
         heartbeat.loads = self._loads()
         heartbeat.limits = limit_words.own_words(
@@ -63,9 +63,9 @@
         return heartbeat
 
     def for_other_regions(self, count: int) -> Heartbeat:
-        """Return what other regions are told."""
-        # The waits of all targets are added up for these alone: nobody in
-        # the own region goes by them.
+        """Return a heartbeat for hosts of other regions."""
+        # The waits of all targets are computed only here, because hosts of the
+        # own region do not use them.
         heartbeat = self._heartbeat(count)
         heartbeat.rooms = self._capacities()
         heartbeat.suspects = self.suspects.news(is_near=False, is_full=True)
@@ -86,13 +86,13 @@
 
     def _loads(self) -> dict[str, LoadFigures]:
         return {
-            life: (
+            incarnation_id: (
                 load.requests,
                 load.unread_tokens,
                 load.held_tokens,
                 load.urgent_tokens,
             )
-            for life, load in self._targets.own_loads().items()
+            for incarnation_id, load in self._targets.own_loads().items()
         }
 
     def _capacities(self) -> dict[str, CapacityFigures]:
--- a/jacinthfold/fleet/heartbeat_message.py
+++ b/jacinthfold/fleet/heartbeat_message.py
@@ -1,9 +1,9 @@
-"""Write and read heartbeats.
+"""Encode and decode heartbeats.
 
-Nearly all bytes between the data centres of a region are heartbeats: each of 30
-hosts tells each other one which targets it has loaded, two and a half times a
-second. They are packed with a dictionary of what every one of them holds, for
-hosts that say that they read it.
+Nearly all traffic between the data centres of a region is heartbeats: each of
+30 hosts sends its loads of targets to each other one 2.5 times a second. They
+are compressed with a preset dictionary of their common content, for hosts that
+report support for it.
 """
 
 import zlib
@@ -15,21 +15,21 @@
 from jacinthfold.placement.request_limit import LimitWord
 from jacinthfold.quarantine.ends import SuspectWord
 
-# Requests, unread tokens, held tokens, urgent unread tokens.
+# Requests, pending prefill tokens, held tokens, urgent pending prefill tokens.
 LoadFigures = tuple[int, int, int, int]
 # Wait of ordinary and of urgent requests in seconds, number of targets.
 CapacityFigures = tuple[float, float, int]
-# Age in milliseconds, and the store's revision that was known then.
+# Age of the sender's freshness proof in milliseconds, and its revision.
 ProofReport = tuple[int, int]
-# A part of the incarnation, and the number of a message that was heard.
+# Low bits of the sender's incarnation and number of a received message.
 Receipt = tuple[int, int]
 
 
 class Heartbeat(msgspec.Struct):
-    """Hold what a host tells the others.
+    """Hold the state that a host sends to the others.
 
-    A host of the version before leaves out fields that are new, and passes
-    over those that it does not know: new fields need a default.
+    Hosts of the previous version omit new fields and ignore those they do not
+    know, so new fields need a default.
     """
 
     host: HostDocument
@@ -37,33 +37,34 @@
     revision: int
     # Whether the host reaches the metadata store.
     store: bool
-    # By the life of a target.
+    # By incarnation of a target.
     loads: dict[str, LoadFigures]
-    # By service.
+    # Spare capacity of the region by service.
     rooms: dict[str, CapacityFigures]
-    # Prompt tokens sent to lives of targets since this host started.
+    # Prompt tokens sent to each incarnation since this host started.
     read_tokens: dict[str, float] = {}
-    # Names of long shared parts that were sent to them in the last moments.
+    # Names of long shared prefixes recently sent to them.
     uses: dict[str, list[str]] = {}
-    # Whether this host reads packed heartbeats.
+    # Whether this host accepts compressed heartbeats.
     packs: bool = False
-    # What this host's answers say of each service's engines; now and then.
+    # Sums for the latency model of each service's engines; in full ones only.
     laws: dict[str, list[float]] = {}
-    # Whether this host reads digests of a data centre.
+    # Whether this host accepts digests of a data centre.
     digests: bool = False
     # Number of this heartbeat since the host started.
     count: int = 0
-    # Requests under which targets ended.
+    # Requests during which targets crashed.
     suspects: list[SuspectWord] = []
-    # Limits that targets named to this host, by the life of a target.
+    # Limits that targets reported to this host, by incarnation.
     limits: dict[str, LimitWord] = {}
-    # How old the knowledge of the store is, and of whom what was heard last.
+    # Freshness proof, and receipts of the last messages by sender.
     proof: ProofReport | None = None
     heard_beats: dict[str, Receipt] = {}
     heard_digests: dict[str, Receipt] = {}
 
 
-# Bytes of most heartbeats; a change here needs another mark.
+# Bytes common to most heartbeats. Both sides must use the same ones, so a
+# change needs another mark.
 COMPRESSION_DICTIONARY = (
     b'"read_tokens":{"i-"},"uses":{},"late_tokens":{},"laws":{},"state":"'
     b'starting","state":"leaving","},"state":"active","revision":,"store":'
@@ -74,25 +75,25 @@
 COMPRESSED_MARK = b'\x01'
 DIGEST_MARK = b'\x02'
 COMPRESSION_LEVEL = 6
-# Without a header or checksum: datagrams have one of their own.
+# Without header and checksum, because datagrams have their own.
 _RAW_DEFLATE_WBITS = -15
-# A heartbeat is some kilobytes; more is somebody else's datagram.
+# A heartbeat has a few kilobytes; anything this large is no heartbeat.
 MAX_DECOMPRESSED_BYTES = 1_000_000
 _decoder = msgspec.json.Decoder(Heartbeat)
 
 
 def encode(heartbeat: Heartbeat) -> bytes:
-    """Return a heartbeat for a host of any version."""
+    """Return a heartbeat as JSON, which hosts of any version accept."""
     return msgspec.json.encode(heartbeat)
 
 
 def compress_heartbeat(content: bytes) -> bytes:
-    """Return an encoded heartbeat for a host that reads packed ones."""
+    """Return an encoded heartbeat compressed, with its mark."""
     return COMPRESSED_MARK + deflate(content)
 
 
 def deflate(content: bytes) -> bytes:
-    """Return bytes packed with what most heartbeats hold."""
+    """Return bytes compressed with the preset dictionary."""
     compressor = zlib.compressobj(
         COMPRESSION_LEVEL,
         wbits=_RAW_DEFLATE_WBITS,
@@ -102,7 +103,7 @@
 
 
 def decode(content: bytes) -> Heartbeat:
-    """Return a heartbeat, packed or not; raise ValueError."""
+    """Decode a heartbeat, compressed or not; raise ValueError."""
     if content.startswith(COMPRESSED_MARK):
         content = inflate(content[len(COMPRESSED_MARK) :])
     try:
@@ -112,7 +113,7 @@
 
 
 def inflate(content: bytes) -> bytes:
-    """Return what was packed; raise ValueError."""
+    """Return decompressed bytes; raise ValueError."""
     decompressor = zlib.decompressobj(
         wbits=_RAW_DEFLATE_WBITS, zdict=COMPRESSION_DICTIONARY
     )
--- a/jacinthfold/fleet/heartbeats.py
+++ b/jacinthfold/fleet/heartbeats.py
@@ -1,8 +1,7 @@
-"""Send heartbeats to the other entry hosts and take in theirs.
+"""Exchange heartbeats with the other entry hosts by datagrams.
 
-Datagrams, not gRPC: a call of pure-Python HTTP/2 costs hundreds of
-microseconds, a datagram tens, and a heartbeat that is lost is replaced by the
-next one a moment later.
+Datagrams cost tens of microseconds, a gRPC call over pure-Python HTTP/2 costs
+hundreds. A lost heartbeat is replaced by the next one a moment later.
 """
 
 import asyncio
@@ -35,30 +34,30 @@
 
 HEARTBEAT_INTERVAL_SECONDS = 0.2
 MAX_HEARTBEAT_INTERVAL_SECONDS = 0.4
-# Hosts of a region up to which the shortest pause is kept when each tells all.
+# In larger regions the interval grows with the hosts, unless collectors are
+# used.
 FULL_RATE_HOSTS = 10
-# Other regions hear every third beat, and half as often from a region that
-# has collectors: bytes between regions are dear.
+# Other regions get every third heartbeat, and half as many from a region with
+# collectors, because traffic between regions is expensive.
 REMOTE_INTERVAL_HEARTBEATS = 3
 COLLECTED_REMOTE_INTERVAL_HEARTBEATS = 6
-# Hosts of another region that hear such a beat. One host's word on its region
-# is as good as another's, and told to all of them the bytes grow with the
-# square of the hosts: of a region of 22 each hears 2.6 times a second and not
-# 18 (worked out).
+# Hosts of another region that get such a heartbeat. All hosts of a region
+# report the same about it, and the traffic of sending to all would grow with
+# the square of the hosts: from a region of 22, each host gets 2.6 a second by
+# calculation instead of 18.
 REMOTE_FANOUT = 3
-# What engines were learned to do and what they have read is told to the own
-# region every fifth beat: it changes over seconds.
+# Latency models and prefilled tokens change only over seconds, so every fifth
+# heartbeat to the own region includes them.
 FULL_INTERVAL_HEARTBEATS = 5
-# Whether a region has collectors is looked at this often: it changes when many
-# hosts come or go.
+# Whether a region has collectors changes only when many hosts come or go.
 COLLECTOR_CHECK_INTERVAL_HEARTBEATS = 3
 MAX_DATAGRAM_BYTES = 60000
-# A dead host refuses every datagram; one line in this time is enough.
+# Every datagram to a dead host fails; the log gets one line in this time.
 SEND_ERROR_LOG_INTERVAL_SECONDS = 5.0
 
 
 class Heartbeats(asyncio.DatagramProtocol):
-    """Exchange heartbeats by datagrams."""
+    """Send and receive heartbeats and digests on one socket."""
 
     def __init__(
         self,
@@ -69,7 +68,7 @@
         capacity_source: CapacitySource,
         clock: Clock,
     ) -> None:
-        """Take what heartbeats tell of and what they change."""
+        """Initialize the exchange; start() binds the socket."""
         self._hosts = hosts
         self._targets = targets
         self._regions = regions
@@ -105,14 +104,13 @@
         self._send_error_logged_at = float('-inf')
         self._random = random.Random()
         self.seeds: tuple[Endpoint, ...] = ()
-        # Who takes what the same socket carries beside heartbeats, by the
-        # first byte.
+        # Handlers of other datagrams on the same socket, by first byte.
         self.datagram_handlers: dict[
             bytes, Callable[[bytes, Endpoint], None]
         ] = {}
 
     async def start(self) -> None:
-        """Bind the socket; raise OSError when the port is taken."""
+        """Bind the socket; raise OSError if the port is in use."""
         own = self._hosts.own
         await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, local_addr=(own.address, own.relay_port)
@@ -125,7 +123,7 @@
             await asyncio.sleep(self._interval_seconds())
 
     def send_heartbeats(self) -> None:
-        """Send one heartbeat to each host that is due."""
+        """Send one heartbeat to each host that is due for one."""
         self._count += 1
         if not self._hosts.others():
             self._send_to_seeds()
@@ -143,17 +141,17 @@
             )
 
     def broadcast(self) -> None:
-        """Tell every host at once what this one is doing now."""
+        """Send the current state to all hosts at once."""
         self._send_to(self._hosts.others(), self._encoded_heartbeat())
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the socket."""
-        # The selector loop's transport is a datagram transport by what it
-        # does, not by its class.
+        """Store the transport of the bound socket."""
+        # The selector loop's transport implements DatagramTransport but does
+        # not inherit from it.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, content: bytes, addr: Any) -> None:
-        """Take a heartbeat or digests."""
+        """Dispatch a heartbeat, digests or another datagram."""
         try:
             if content[:1] in self.datagram_handlers:
                 self.datagram_handlers[content[:1]](content, addr)
@@ -165,7 +163,7 @@
             logs.warning('heartbeat_unreadable', peer=addr, reason=repr(error))
 
     def error_received(self, exc: Exception) -> None:
-        """Take that a datagram met no listener; the table shows it too."""
+        """Log that a datagram could not be delivered, at a limited rate."""
         self._send_error_count += 1
         now = self._clock.monotonic()
         if now - self._send_error_logged_at < SEND_ERROR_LOG_INTERVAL_SECONDS:
@@ -186,10 +184,9 @@
     def _interval_seconds(self) -> float:
         if self._is_collected and self._digest_view.includes_own():
             return HEARTBEAT_INTERVAL_SECONDS
-        # Where each tells all, what a host sends and reads grows with the
-        # hosts of its region; at twice as many it speaks half as often, up to
-        # a limit at which loads are still heard while the prompts they speak
-        # of are being read.
+        # If every host sends to all, the cost grows with the hosts of the
+        # region, so the interval grows too. At the maximum, loads still arrive
+        # while their prompts are being prefilled.
         own = self._hosts.own
         near = len(self._hosts.names_in(own.region))
         return min(
@@ -217,8 +214,8 @@
         names = self._collectors.select(self._hosts.own.data_centre)
         if self._hosts.own.name in names:
             self._digest_exchange.send_digest(names.index(self._hosts.own.name))
-        # Who is not told of by a collector is dropped by all after two
-        # seconds: both may have died, or packets to them get lost.
+        # Hosts that no digest includes are dropped by all after two seconds.
+        # Both collectors may have died, or packets to them may get lost.
         if self._digest_view.includes_own():
             self._send_to(self._hosts.entries(names), content)
         else:
@@ -236,7 +233,7 @@
         return sampled
 
     def _send_to_seeds(self) -> None:
-        # Ports are the same on all hosts of a deployment.
+        # All hosts of a deployment use the same ports.
         own = self._hosts.own
         content = self._encoded_heartbeat()
         for address, _ in self.seeds:
@@ -297,7 +294,8 @@
         if self._digest_view.includes(name):
             return
         loads = {
-            life: Load(*figures) for life, figures in heartbeat.loads.items()
+            incarnation_id: Load(*figures)
+            for incarnation_id, figures in heartbeat.loads.items()
         }
         self._targets.take_report(name, loads, now)
         self._targets.take_uses(name, heartbeat.read_tokens, heartbeat.uses)
@@ -307,7 +305,7 @@
 def _region_report(
     region: str, heartbeat: Heartbeat, now: float
 ) -> RegionReport:
-    rooms = heartbeat.rooms
-    waits = {service: (room[0], room[1]) for service, room in rooms.items()}
-    counts = {service: room[2] for service, room in rooms.items()}
+    capacities = heartbeat.rooms
+    waits = {service: (one[0], one[1]) for service, one in capacities.items()}
+    counts = {service: one[2] for service, one in capacities.items()}
     return RegionReport(region, now, waits, counts)
--- a/jacinthfold/fleet/snapshots.py
+++ b/jacinthfold/fleet/snapshots.py
@@ -1,4 +1,4 @@
-"""Get the catalogue from another entry host when the store is out of reach."""
+"""Fetch the catalogue from another entry host that is ahead."""
 
 import asyncio
 import base64
@@ -17,22 +17,22 @@
 from jacinthfold.transport.http_call import HttpCaller
 
 SNAPSHOT_PATH = '/snapshot'
-# Another host may be ahead for as long as changes are gathered there; longer
-# means that the own watch is silent or cut.
+# Another host may be ahead by the time in which changes are batched. Longer
+# means that the own watch hangs or is cut off.
 MAX_BEHIND_SECONDS = 0.9
-# Each of 195 hosts asked three times a second; by a profile of a calm one that
-# took 35 of the 650 ms that it was busy. With half a second and the watch's own
-# a change is known after some 1.5 s (worked out), within the least bound of 3.
+# In a profile of an idle host among 195, three checks a second took 35 of its
+# 650 busy milliseconds. With 0.5 s plus the delay of the watch a change arrives
+# after about 1.5 s by calculation, within the smallest allowed bound of 3 s.
 CHECK_INTERVAL_SECONDS = 0.5
 CALL_TIMEOUT_SECONDS = 1.5
-# The fastest level: 0.5 MB of routes in 3 ms, to 6 hundredths of its bytes.
+# The fastest level compresses 0.5 MB of routes in 3 ms to 6 % of its size.
 COMPRESSION_LEVEL = 1
 
 Endpoint = tuple[str, int]
 
 
 class SnapshotFetcher:
-    """Catch up with hosts that know more."""
+    """Fetch newer records from hosts that are ahead."""
 
     def __init__(
         self,
@@ -41,17 +41,17 @@
         caller: HttpCaller,
         clock: Clock,
     ) -> None:
-        """Take whom to ask and what to bring up to date."""
+        """Initialize a fetcher that updates a catalogue."""
         self._hosts = hosts
         self._catalogue = catalogue
         self._caller = caller
         self._clock = clock
         self.seeds: tuple[Endpoint, ...] = ()
-        # Whether this host hears of changes from the store by itself.
+        # Whether this host watches the store itself.
         self.watches: Callable[[], bool] = lambda: True
 
     async def run(self) -> None:
-        """Catch up until cancelled."""
+        """Fetch missing changes until cancelled."""
         behind_since: float | None = None
         while True:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
@@ -68,8 +68,8 @@
     def _endpoints_ahead(self) -> list[Endpoint]:
         own_region = self._hosts.own.region
         ahead = self._hosts.ahead_of(self._catalogue.revision)
-        # Any order among the near ones: asked by the highest revision, one
-        # host would get the calls of all that are behind.
+        # Random order within a region: sorted by revision, one host would get
+        # the calls of all hosts that are behind.
         random.shuffle(ahead)
         ahead.sort(key=lambda entry: entry.record.region != own_region)
         endpoints = [
@@ -114,21 +114,24 @@
 
 
 class Snapshot:
-    """Hold records up to a revision: all, or those that changed."""
+    """Hold all records at a revision, or only the changed ones."""
 
     __slots__ = ('is_whole', 'records', 'revision')
 
     def __init__(
         self, records: list[Record], revision: int, *, is_whole: bool
     ) -> None:
-        """Take the records; without content they were removed."""
+        """Initialize a snapshot; records without content are removals."""
         self.records = records
         self.revision = revision
         self.is_whole = is_whole
 
 
 def encode_snapshot(catalogue: Catalogue, since: int) -> bytes:
-    """Return what changed after a revision, or all records, as bytes."""
+    """Return changes after a revision as JSON.
+
+    The result has all records if since is 0 or some changes are forgotten.
+    """
     changed = catalogue.changes_since(since) if since else None
     records = catalogue.records() if changed is None else changed
     document = {
@@ -143,23 +146,23 @@
 
 
 class CompressedSnapshots:
-    """Pack what hosts ask for, once for all that ask alike."""
+    """Cache compressed snapshots of the current revision."""
 
-    # A configuration of 1,300 routes is 0.5 MB. Asked for by fourteen hosts at
-    # once over a link of 5 Mbit/s no transfer ended within its call's time,
-    # and hosts went by the earlier one for over five seconds. Packed it has a
-    # twentieth of the bytes.
+    # A configuration of 1,300 routes has 0.5 MB. When fourteen hosts fetched
+    # it at once over a link of 5 Mbit/s, all transfers timed out and the hosts
+    # used the earlier one for over five seconds. Compression reduces it to a
+    # twentieth.
 
     __slots__ = ('_catalogue', '_cache', '_revision')
 
     def __init__(self, catalogue: Catalogue) -> None:
-        """Take what is told."""
+        """Initialize an empty cache for a catalogue."""
         self._catalogue = catalogue
         self._revision = -1
         self._cache: dict[int, bytes] = {}
 
     def since(self, revision: int) -> bytes:
-        """Return what changed after a revision, or all records."""
+        """Return a compressed snapshot of changes after a revision."""
         if self._revision != self._catalogue.revision:
             self._revision = self._catalogue.revision
             self._cache.clear()
@@ -170,8 +173,11 @@
 
 
 def decode_snapshot(content: bytes) -> Snapshot:
-    """Return a snapshot, packed or not; raise ValueError or KeyError."""
-    # Hosts of the version before answer without packing.
+    """Decode a snapshot, compressed or not.
+
+    Raise ValueError or KeyError if it is malformed.
+    """
+    # Hosts of the previous version do not compress.
     if not content.startswith(b'{'):
         content = _decompressed(content)
     document: dict[str, Any] = json.loads(content)
@@ -183,12 +189,12 @@
 
 
 class SnapshotQuery:
-    """Hold what another host asks for."""
+    """Hold the query of a snapshot request."""
 
     __slots__ = ('accepts_compressed', 'since')
 
     def __init__(self, target: str) -> None:
-        """Take a call's target; raise ValueError."""
+        """Parse a request target; raise ValueError if it is malformed."""
         query = parse_qs(urlsplit(target).query)
         self.since = int(query.get('since', ['0'])[0])
         self.accepts_compressed = 'packed' in query
--- a/jacinthfold/fleet/table.py
+++ b/jacinthfold/fleet/table.py
@@ -1,4 +1,4 @@
-"""Know which entry hosts there are and which of them serve."""
+"""Track the other entry hosts and their liveness."""
 
 from collections.abc import Iterable
 from enum import Enum
@@ -7,18 +7,17 @@
 from jacinthfold.catalogue.model import HostRecord
 from jacinthfold.clock import Clock
 
-# Heartbeats come every 200 ms in a region and every 400 ms across: five lost
-# in a row are no chance on links that lose 3 in 100.
+# Heartbeats come every 200 ms within a region and every 400 ms across regions.
+# At a packet loss of 3 % five in a row are not lost by chance.
 HOST_TIMEOUT_SECONDS = 2.0
-# A host that fell silent is dropped after this; until then its name still
-# counts for what is split among hosts.
+# A silent host is removed after this time. Until then its name still counts
+# where something is divided among hosts.
 EXPIRY_SECONDS = 30.0
-# How often that is looked at.
 EXPIRY_CHECK_INTERVAL_SECONDS = 1.0
 
 
 class HostState(Enum):
-    """Say what an entry host is doing."""
+    """Name the lifecycle states of an entry host."""
 
     STARTING = 'starting'
     ACTIVE = 'active'
@@ -26,7 +25,7 @@
 
 
 class HostStatus:
-    """Hold what a host says of itself."""
+    """Hold the state and capabilities that a host reports."""
 
     __slots__ = (
         'reaches_store',
@@ -45,7 +44,7 @@
         supports_compression: bool = False,
         supports_digests: bool = False,
     ) -> None:
-        """Take its state, the store's revision it knows, what it can do."""
+        """Initialize a status at a revision of the metadata store."""
         self.state = state
         self.revision = revision
         self.reaches_store = reaches_store
@@ -54,12 +53,12 @@
 
 
 class HostEntry:
-    """Hold a host and what its last heartbeat said."""
+    """Hold a host and its last reported status."""
 
     __slots__ = ('heard_at', 'is_registered', 'record', 'status')
 
     def __init__(self, record: HostRecord) -> None:
-        """Take how the host is reached."""
+        """Initialize the entry of a host not heard from yet."""
         self.record = record
         self.status = HostStatus(HostState.STARTING)
         self.heard_at = float('-inf')
@@ -67,20 +66,20 @@
 
     @property
     def state(self) -> HostState:
-        """Return what the host is doing."""
+        """Return the lifecycle state of the host."""
         return self.status.state
 
     @property
     def supports_compression(self) -> bool:
-        """Tell whether the host reads packed heartbeats."""
+        """Return whether the host accepts compressed heartbeats."""
         return self.status.supports_compression
 
 
 class HostTable:
-    """Hold the entry hosts by name."""
+    """Hold the other entry hosts by name."""
 
     def __init__(self, own: HostRecord, clock: Clock) -> None:
-        """Start alone."""
+        """Start without other hosts."""
         self.own = own
         self.own_state = HostState.STARTING
         self._clock = clock
@@ -88,7 +87,7 @@
         self._expiry_checked_at = clock.monotonic()
 
     def register(self, record: HostRecord | None, name: str) -> None:
-        """Take a host's record from the store, or that it is gone."""
+        """Apply a host's record of the store, None if it was removed."""
         if name == self.own.name:
             return
         entry = self._entries.get(name)
@@ -108,7 +107,7 @@
         supports_compression: bool = False,
         supports_digests: bool = False,
     ) -> None:
-        """Take a heartbeat; one of an earlier incarnation changes nothing."""
+        """Record a heartbeat, unless it is of an earlier incarnation."""
         if record.name == self.own.name:
             return
         entry = self._upsert(record)
@@ -124,7 +123,7 @@
         self._update(entry, status, self._clock.monotonic())
 
     def add_record(self, record: HostRecord) -> None:
-        """Take how a host is reached, of which nothing was heard directly."""
+        """Add a host that sent nothing to this one directly."""
         if record.name != self.own.name:
             self._upsert(record)
 
@@ -135,7 +134,7 @@
         status: HostStatus,
         heard_at: float,
     ) -> None:
-        """Take what another host heard of a host, and when."""
+        """Record a status that another host received at a time."""
         entry = self._entries.get(name)
         if entry is None or entry.record.incarnation != incarnation:
             return
@@ -144,14 +143,15 @@
             return
         is_live = now - entry.heard_at < HOST_TIMEOUT_SECONDS
         if is_live and entry.status.state is status.state:
-            # Nearly always: 65 hosts are told of five times a second.
+            # The usual case, kept fast: 65 hosts are reported five times a
+            # second.
             entry.status = status
             entry.heard_at = heard_at
         else:
             self._update(entry, status, heard_at)
 
     def others(self) -> list[HostEntry]:
-        """Return all other hosts that may be alive."""
+        """Return all other hosts that have not expired."""
         now = self._clock.monotonic()
         if now - self._expiry_checked_at > EXPIRY_CHECK_INTERVAL_SECONDS:
             self._expiry_checked_at = now
@@ -159,7 +159,7 @@
         return list(self._entries.values())
 
     def serving(self, region: str) -> list[HostRecord]:
-        """Return hosts of a region that take requests, the own one too."""
+        """Return a region's live active hosts, including this one."""
         found = [
             entry.record
             for entry in self._entries.values()
@@ -172,14 +172,14 @@
         return found
 
     def regions(self) -> set[str]:
-        """Return the regions of all hosts known."""
+        """Return the regions of all known hosts."""
         return {
             self.own.region,
             *(entry.record.region for entry in self._entries.values()),
         }
 
     def names_in(self, region: str) -> list[str]:
-        """Return the names of a region's hosts, live or not."""
+        """Return the names of a region's other hosts, registered or live."""
         return [
             entry.record.name
             for entry in self._entries.values()
@@ -188,25 +188,25 @@
         ]
 
     def registered(self) -> list[str]:
-        """Return names of other hosts that the store lists."""
+        """Return the names of other hosts that the store lists."""
         return [
             name for name, entry in self._entries.items() if entry.is_registered
         ]
 
     def endpoint_of(self, name: str) -> tuple[str, int] | None:
-        """Return where a host takes datagrams, None where it isn't known."""
+        """Return the datagram endpoint of a host, None if unknown."""
         entry = self._entries.get(name)
         if entry is None:
             return None
         return entry.record.address, entry.record.relay_port
 
     def heard_at(self, name: str) -> float:
-        """Return when a host was last heard, by the clock of this table."""
+        """Return the monotonic time of a host's last status in seconds."""
         entry = self._entries.get(name)
         return entry.heard_at if entry else float('-inf')
 
     def reaching_store(self, data_centre: str) -> list[str]:
-        """Return names of live hosts of a data centre that reach the store."""
+        """Return names of a data centre's active hosts that reach the store."""
         return [
             entry.record.name
             for entry in self._entries.values()
@@ -217,7 +217,7 @@
         ]
 
     def active_in(self, data_centre: str, seconds: float) -> list[str]:
-        """Return names of hosts of a data centre heard as active lately."""
+        """Return names of a data centre's hosts active in the last seconds."""
         limit = self._clock.monotonic() - seconds
         found = [
             entry.record.name
@@ -232,17 +232,17 @@
         return found
 
     def entries(self, names: Iterable[str]) -> list[HostEntry]:
-        """Return what is known of other hosts by their names."""
+        """Return the entries of those names that are known."""
         found = [self._entries.get(name) for name in names]
         return [entry for entry in found if entry is not None]
 
     def others_in_own_region(self) -> list[HostEntry]:
-        """Return the other hosts of the own region that may be alive."""
+        """Return the other hosts of the own region that have not expired."""
         region = self.own.region
         return [one for one in self.others() if one.record.region == region]
 
     def all_live_support_digests(self) -> bool:
-        """Tell whether every live host of the region reads digests."""
+        """Return whether all live hosts of the region accept digests."""
         return all(
             entry.status.supports_digests
             for entry in self._entries.values()
@@ -250,7 +250,7 @@
         )
 
     def ahead_of(self, revision: int) -> list[HostEntry]:
-        """Return live hosts that know a newer revision of the store."""
+        """Return live hosts that are at a newer revision of the store."""
         return [
             entry
             for entry in self._entries.values()
@@ -277,8 +277,8 @@
         self, entry: HostEntry, status: HostStatus, heard_at: float
     ) -> None:
         was_live = self._is_live(entry)
-        # Of a large region far away each host is heard once in half a minute:
-        # told each time, it would be five lines a second that say nothing.
+        # Each host of a large remote region is heard from about twice a minute;
+        # logging each return would add five useless lines a second.
         is_near = entry.record.region == self.own.region
         is_back = is_near and not was_live
         if entry.state is not status.state or is_back:
--- a/jacinthfold/fleet/watchers.py
+++ b/jacinthfold/fleet/watchers.py
@@ -1,30 +1,30 @@
-"""Choose the hosts that watch the metadata store for their data centre.
+"""Select the hosts that watch the metadata store for their data centre.
 
-The store counts every waiting watch as a call, and its rates grow more slowly
-than the hosts. In a large region a few hosts watch; the others hear from
-heartbeats that one of them is ahead and ask it what changed.
+The store counts each pending watch as a call, and its rate limits grow more
+slowly than the number of hosts. In a large region only a few hosts watch. The
+others see in heartbeats that a watcher is ahead and fetch the changes from it.
 """
 
 from jacinthfold.fleet.table import HostTable
 from jacinthfold.hashing import rank
 
-# Hosts of a region up to which each watches for itself. A watch ends at most
-# twice a second: 20 of the 2,000 reads a second that the smallest store takes.
+# In smaller regions each host watches for itself. A watch ends at most twice a
+# second: 20 of the 2,000 reads a second that the smallest store allows.
 MIN_HOSTS_FOR_WATCHERS = 10
-# One watch may hang for five seconds before its host notices; a second one
-# covers for it within the time that changes are allowed.
+# A watch may hang for five seconds before its host notices. The second watcher
+# still delivers changes within the allowed time.
 WATCHERS_PER_DATA_CENTRE = 2
 
 
 class Watchers:
-    """Tell whether the own host watches."""
+    """Determine whether this host watches the store."""
 
     def __init__(self, hosts: HostTable) -> None:
-        """Take the hosts that are known."""
+        """Initialize the selection among the hosts of a table."""
         self._hosts = hosts
 
     def own_watches(self) -> bool:
-        """Tell whether this host is to watch now."""
+        """Return whether this host must watch the store now."""
         if self._should_all_watch():
             return True
         return (
@@ -33,7 +33,7 @@
         )
 
     def own_is_standby(self) -> bool:
-        """Tell whether the own host watches in case the first one stops."""
+        """Return whether this host ranks after the first watcher."""
         return (
             not self._should_all_watch()
             and self._ranked_candidates()[0] != self._hosts.own.name
@@ -44,8 +44,8 @@
         return len(near) < MIN_HOSTS_FOR_WATCHERS
 
     def _ranked_candidates(self) -> list[str]:
-        # Only hosts that are heard and reach the store can watch for others:
-        # when they fall silent or lose it, the next in order take over.
+        # Only live hosts that reach the store can watch for others. If they
+        # fail or lose the store, the next ones in order take over.
         own = self._hosts.own
         candidates = self._hosts.reaching_store(own.data_centre)
         return rank(own.data_centre, {own.name, *candidates})
--- a/tests/gateway/test_collectors.py
+++ b/tests/gateway/test_collectors.py
@@ -53,13 +53,13 @@
     for count in (30, 90):
         fleet = Fleet(count)
         fleet.run(SETTLED_SECONDS)
-        heard = received_per_second(fleet, 5.0)
+        rates = received_per_second(fleet, 5.0)
         busy = {*fleet.collectors('n-1'), *fleet.collectors('n-2')}
         assert len(busy) == 4
-        calm = [rate for name, rate in heard.items() if name not in busy]
-        assert max(calm) < 12
+        other_rates = [rate for name, rate in rates.items() if name not in busy]
+        assert max(other_rates) < 12
         # Who collects hears its data centre and the other's collectors.
-        assert max(heard.values()) < 5 * count / 2 + 25
+        assert max(rates.values()) < 5 * count / 2 + 25
 
 
 def test_small_region_needs_no_collectors():
@@ -134,17 +134,17 @@
         assert host.live() == living
         assert host.heartbeats._digest_view.includes_own()
     busy = {*fleet.collectors('n-1'), *fleet.collectors('n-2')}
-    heard = received_per_second(fleet, 5.0)
-    assert max(r for n, r in heard.items() if n in living - busy) < 12
+    rates = received_per_second(fleet, 5.0)
+    assert max(r for n, r in rates.items() if n in living - busy) < 12
 
 
 def test_half_of_the_hosts_die_at_once():
     """Every second host is killed, collectors among them."""
     fleet = Fleet(40)
     fleet.run(SETTLED_SECONDS)
-    doomed = {*fleet.collectors('n-1'), *fleet.collectors('n-2')}
-    doomed |= set(sorted(fleet.hosts)[:18])
-    for name in doomed:
+    killed = {*fleet.collectors('n-1'), *fleet.collectors('n-2')}
+    killed |= set(sorted(fleet.hosts)[:18])
+    for name in killed:
         fleet.hosts[name].is_running = False
     living = set(fleet.running())
     fleet.run(HOST_TIMEOUT_SECONDS + 1.5)
@@ -187,11 +187,11 @@
     fleet = Fleet(30)
     fleet.run(SETTLED_SECONDS)
 
-    def crosses(one, other):
+    def is_between_data_centres(one, other):
         homes = [fleet.hosts[n].hosts.own.data_centre for n in (one, other)]
         return homes[0] != homes[1]
 
-    fleet.is_lost = crosses
+    fleet.is_lost = is_between_data_centres
     fleet.run(5.0)
     for host in fleet.hosts.values():
         assert len(host.live()) == 15
@@ -343,9 +343,9 @@
     fleet.run(SETTLED_SECONDS)
     view: DigestView = fleet.hosts['h000'].heartbeats._digest_view
     digest = view._current['n-1'].digest
-    packed = decode_digests(encode_digests([digest]))[0]
-    packed.region = 'south'
-    packed.data_centre = 's-1'
-    view.apply(packed)
+    decoded = decode_digests(encode_digests([digest]))[0]
+    decoded.region = 'south'
+    decoded.data_centre = 's-1'
+    view.apply(decoded)
     assert 's-1' not in view._current
     assert json.dumps(sorted(view._current)) == '["n-1", "n-2"]'
--- a/tests/gateway/test_watchers.py
+++ b/tests/gateway/test_watchers.py
@@ -182,10 +182,10 @@
     sizes = [len(snapshots.since(0)) for _ in range(14)]
     link_bytes_per_second = 5e6 / 8
     assert sum(sizes) < CALL_TIMEOUT_SECONDS * link_bytes_per_second
-    taken = decode_snapshot(snapshots.since(0))
-    assert taken.is_whole
-    assert taken.revision == known.revision
-    assert {one.key for one in taken.records} == {'op/config'}
+    snapshot = decode_snapshot(snapshots.since(0))
+    assert snapshot.is_whole
+    assert snapshot.revision == known.revision
+    assert {one.key for one in snapshot.records} == {'op/config'}
 
 
 def test_snapshot_is_compressed_again_after_a_change():
