--- a/tests/gateway/beating.py
+++ b/tests/gateway/beating.py
@@ -1,4 +1,4 @@
-"""Let many hosts exchange heartbeats in one process, by a clock of its own."""
+"""Simulate heartbeats between many hosts in one process and virtual time."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 class SimulatedHost:
-    """Hold one host's heartbeats and when it sends the next one."""
+    """Hold one host's heartbeats and the time of its next one."""
 
     def __init__(self, fleet, record):
         self.scene = Scene(record.name, fleet.clock)
@@ -43,17 +43,17 @@
         self.received_count = 0
 
     def live(self):
-        """Return the names of the hosts of the region that serve."""
+        """Return the names of the region's hosts that are live here."""
         return {one.name for one in self.hosts.serving('north')}
 
 
 class Fleet:
-    """Hold hosts of one region and what its network loses."""
+    """Hold the hosts of one region and a network that may lose datagrams."""
 
     def __init__(self, count, data_centres=('n-1', 'n-2'), seed=1):
         self.clock = FakeClock()
         self.random = random.Random(seed)
-        # Whether a datagram from one host to another one gets lost.
+        # Whether a datagram from one host to another is lost.
         self.is_lost = lambda sender, receiver: False
         self.hosts = {}
         self._by_address = {}
@@ -61,7 +61,7 @@
             self.add(f'h{number:03}', data_centres[number % len(data_centres)])
 
     def add(self, name, data_centre, incarnation=1):
-        """Add a host that all know from the store, and that knows all."""
+        """Add a host; it and all others learn of each other from the store."""
         number = len(self._by_address)
         record = host_record(name, data_centre, number, 'north', incarnation)
         added = SimulatedHost(self, record)
@@ -96,7 +96,7 @@
             host.scene.add(instance)
 
     def collectors(self, data_centre):
-        """Return the names of those that collect, as most hosts believe."""
+        """Return a data centre's collectors as one of its hosts sees them."""
         some = next(
             host
             for host in self.hosts.values()
--- a/tests/gateway/test_collectors.py
+++ b/tests/gateway/test_collectors.py
@@ -1,4 +1,4 @@
-"""Large regions: collectors sum what hosts tell, and hosts outlive them."""
+"""Collectors of large regions: aggregation of heartbeats and failover."""
 
 import json
 import random
@@ -19,7 +19,7 @@
 
 
 class NoCollectors:
-    """Tell all directly, as hosts did that know of no collectors."""
+    """Disable collectors, as hosts of the previous version do."""
 
     def are_used(self):
         return False
@@ -29,7 +29,7 @@
 
 
 def received_per_second(fleet, seconds):
-    """Return what each host hears in a second."""
+    """Return the datagrams per second that each host receives."""
     before = {name: host.received_count for name, host in fleet.hosts.items()}
     fleet.run(seconds)
     return {
@@ -39,16 +39,16 @@
 
 
 def requests(host, instance):
-    """Return how many requests a host believes to be at a target."""
+    """Return the requests at a target by a host's view of its load."""
     now = host.scene.clock.monotonic()
     return host.scene.targets.find(instance).load(now).requests
 
 
 def test_received_datagrams_do_not_grow_with_region_size():
-    """Thirty hosts and ninety, at rest.
+    """Idle regions of 30 and 90 hosts.
 
-    Each told all others before: a host heard two and a half datagrams a
-    second of each, and a quarter of a large fleet's work was to read them.
+    When each host sent to all others, it received 2.5 datagrams a second from
+    each, and decoding them took a quarter of a large fleet's processor time.
     """
     for count in (30, 90):
         fleet = Fleet(count)
@@ -58,7 +58,7 @@
         assert len(busy) == 4
         other_rates = [rate for name, rate in rates.items() if name not in busy]
         assert max(other_rates) < 12
-        # Who collects hears its data centre and the other's collectors.
+        # A collector receives from its data centre and the other's collectors.
         assert max(rates.values()) < 5 * count / 2 + 25
 
 
@@ -70,10 +70,10 @@
 
 @pytest.mark.parametrize('seed', range(6))
 def test_digest_sums_equal_the_sum_over_all_hosts(seed):
-    """Hosts take requests on and end them between two heartbeats.
+    """Hosts start and finish requests between two heartbeats.
 
-    Added to its own, a host must not count its own requests a second time
-    from the sums, which hold them as they were some heartbeats ago.
+    Digest sums include a host's own requests as of some heartbeats ago. The
+    host must not count them a second time beside its current own load.
     """
     source = random.Random(seed)
     fleet = Fleet(16)
@@ -117,8 +117,8 @@
 def test_hosts_outlive_their_collectors(count):
     """One or both collectors of a data centre lose power.
 
-    Callers are told to use the hosts that live. With nobody to tell of them,
-    all would be dropped after two seconds, and callers sent to another region.
+    If nothing reported the remaining hosts, all would be dropped after two
+    seconds and callers sent to another region.
     """
     fleet = Fleet(30)
     fleet.run(SETTLED_SECONDS)
@@ -153,10 +153,10 @@
 
 
 def test_host_cut_off_from_its_collectors_stays_live():
-    """One direction of two links is lost: from a host to its collectors.
+    """Datagrams from one host to its collectors are lost, in one direction.
 
-    They do not tell of it, and without its own word the others would drop a
-    host that serves.
+    Digests then omit the host. Unless it sends to all hosts itself, they would
+    drop a host that serves.
     """
     fleet = Fleet(30)
     fleet.run(SETTLED_SECONDS)
@@ -179,10 +179,10 @@
 
 
 def test_data_centres_reconnect_after_a_partition():
-    """Two data centres of a region are apart for five seconds.
+    """Two data centres of a region are partitioned for five seconds.
 
-    Each drops the other's hosts meanwhile. When the link is back nobody there
-    counts as a collector, and somebody must begin.
+    Each drops the other's hosts meanwhile. After the partition neither knows a
+    live collector of the other, and one must start to send anyway.
     """
     fleet = Fleet(30)
     fleet.run(SETTLED_SECONDS)
@@ -202,7 +202,7 @@
 
 
 def test_added_host_and_others_discover_each_other():
-    """A machine is added while hosts leave telling to collectors."""
+    """A host is added to a region that uses collectors."""
     fleet = Fleet(30)
     fleet.run(SETTLED_SECONDS)
     added = fleet.add('new', 'n-1')
@@ -213,10 +213,10 @@
 
 
 def test_digest_of_a_resumed_collector_is_not_preferred():
-    """A collector is frozen for four seconds and hears nobody as it wakes.
+    """A collector is suspended for four seconds and resumes without peers.
 
-    Its first digest tells of itself alone; taken for the truth it would make
-    every target look idle.
+    Its first digest covers only itself. If others preferred it, every target
+    would look idle.
     """
     fleet = Fleet(30)
     fleet.add_target('i-0')
@@ -235,7 +235,7 @@
 
 
 def test_leaving_host_is_not_made_active_again():
-    """A host that stops tells all at once; late digests don't undo that."""
+    """A leaving host notifies all at once; late digests don't undo that."""
     fleet = Fleet(30)
     fleet.run(SETTLED_SECONDS)
     name = fleet.collectors('n-1')[0]
@@ -250,7 +250,7 @@
 
 
 def test_host_without_digest_support_gets_heartbeats_directly():
-    """One host of the region does not read digests."""
+    """One host of the region does not support digests."""
     fleet = Fleet(20)
     fleet.run(SETTLED_SECONDS)
     old = fleet.hosts['h003']
@@ -270,10 +270,10 @@
 
 
 def test_prefilled_tokens_count_once_after_collector_failover():
-    """Hosts send prompts to a target; the first collector dies meanwhile.
+    """The first collector dies while hosts send prompts to a target.
 
-    Both collectors count what the target reads, each from its own start.
-    Added to each other they would drop parts that the target still keeps.
+    Both collectors count prefilled tokens, each from its own start. Adding the
+    two counts would evict prefixes that the target still caches.
     """
     fleet = Fleet(20)
     fleet.add_target('i-0')
@@ -293,9 +293,9 @@
 
 
 def test_totals_of_two_collectors_are_not_compared():
-    """A collector that has run for long is followed by one that began later.
+    """A long-running collector is replaced by one that started later.
 
-    The difference between their counts says nothing of what was read.
+    The difference between their counters is not a number of prefilled tokens.
     """
     scene = Scene()
     kept = scene.add('i-0').kept
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -1,4 +1,4 @@
-"""Where callers are told to connect."""
+"""Resolution of callers to entry hosts."""
 
 import json
 import random
@@ -18,7 +18,7 @@
 
 
 def scene(routes):
-    """Return the directory of a western host that hears one other of west."""
+    """Return the directory of a host in west with one live neighbour."""
     clock = FakeClock()
     hosts = HostTable(host('west-a', 'west'), clock)
     hosts.record_heartbeat(host('west-b', 'west'), HostState.ACTIVE, 1)
@@ -35,11 +35,11 @@
 
 
 def test_host_without_routes_returns_no_hosts_of_other_regions():
-    """Every host of a home region is stopping; a western host starts.
+    """All hosts of a home region stop while a host of west starts.
 
-    It hears the others of its region before it has the configuration. A
-    caller whose route is bound to the north asks it, is led to the west, and
-    stays there for as long as the answer holds.
+    It receives heartbeats of its region before it has the configuration. A
+    caller whose route is limited to north would be sent to west, and stay there
+    until the directory entry expires.
     """
     directory, _ = scene([])
     assert not directory.resolve(HOST_NAME, 'north', 'north-1')
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -1,4 +1,4 @@
-"""Keys that were taken away: how old a host's knowledge may be."""
+"""Revoked keys: the maximum age of a host's copy of the store."""
 
 import random
 import signal
@@ -29,7 +29,7 @@
 
 
 def test_proof_age_counts_from_the_request():
-    """The store answered, and the answer took two seconds to arrive."""
+    """The store's response took two seconds to arrive."""
     clock = FakeClock()
     freshness = Freshness(clock)
     freshness.advance(7)
@@ -40,9 +40,9 @@
 
 
 def test_store_that_is_ahead_proves_nothing_until_that_is_known():
-    """A read names revision 9; the change it stands for isn't here yet.
+    """A read returns revision 9, whose change has not arrived yet.
 
-    It may be the one that takes a key away.
+    That change may be the revocation of a key.
     """
     clock = FakeClock()
     freshness = Freshness(clock)
@@ -68,7 +68,7 @@
 
 
 def proven_fleet(count, data_centres=('n-1', 'n-2')):
-    """Return hosts that tell each other proofs, none of which has any."""
+    """Return hosts that exchange proofs, none of which has one yet."""
     fleet = Fleet(count, data_centres)
     for host in fleet.hosts.values():
         host.heartbeats.freshness_exchange.is_enabled = True
@@ -83,11 +83,10 @@
 
 @pytest.mark.parametrize('count', [4, 20, 60])
 def test_proof_of_one_host_reaches_its_data_centre(count):
-    """One host reads the store; the store turns all others away.
+    """One host reads the store, which rejects all other hosts.
 
-    Whether hosts tell each other all or collectors sum for them, each host of
-    its data centre is to know within two seconds, with an age that grew on the
-    way and never shrank.
+    With and without collectors, its proof must reach each host of its data
+    centre within two seconds, and its age must never shrink on the way.
     """
     fleet = proven_fleet(count, ('n-1',))
     reader = next(iter(fleet.hosts.values()))
@@ -101,10 +100,10 @@
 
 
 def test_proof_age_includes_delivery_delay():
-    """Datagrams lie a second in the buffer of a host that stands still.
+    """Datagrams wait in the receive buffer of a suspended host.
 
-    Counted from when they are read, an old proof would seem new, and a key
-    that was taken away meanwhile would serve beyond its bound.
+    If the age counted from when they are read, an old proof would seem new and
+    a key revoked meanwhile would be accepted beyond the bound.
     """
     fleet = proven_fleet(4, ('n-1',))
     reader, other = list(fleet.hosts.values())[:2]
@@ -124,7 +123,7 @@
 
 
 def test_receipt_of_an_earlier_incarnation_is_ignored():
-    """A host starts again; a neighbour still names what it said before."""
+    """A host restarts, and a neighbour still acknowledges older messages."""
     fleet = proven_fleet(2, ('n-1',))
     one, two = fleet.hosts.values()
     freshness_of(one).record_revision(fleet.clock.boottime(), 1)
@@ -138,7 +137,7 @@
 
 
 def gate_at(age_seconds):
-    """Return a gate whose knowledge is so old, with one organisation."""
+    """Return a key gate whose records have an age, with one organisation."""
     made, _ = catalogue()
     made.apply([record(document(tenant('north', KEY)), 1)], 1)
     clock = made.freshness._clock
@@ -159,7 +158,7 @@
     [(0, None), (4.5, None), (4.7, Barrier.STALE), (60, Barrier.STALE)],
 )
 def test_request_is_not_sent_past_the_bound(age_seconds, barrier):
-    """A host was let a request in, and stood still before it sent it."""
+    """A host accepts a request and is suspended before sending it."""
     gate, _ = gate_at(age_seconds)
     assert gate.barrier(request_with(KEY)) is barrier
 
@@ -179,7 +178,7 @@
 
 
 def test_relayed_request_needs_its_organisation_here():
-    """Another host let it in; all its keys are gone by what is known here."""
+    """Another host admitted it, but here the organisation has no keys left."""
     gate, made = gate_at(0)
     request = request_with(KEY)
     request.is_relayed = True
@@ -189,7 +188,7 @@
 
 
 def test_unknown_key_is_not_denied_by_old_knowledge():
-    """A key was added a moment ago; callers don't come back after a denial."""
+    """A key may just have been added, and callers don't retry a denial."""
     assert gate_at(0)[0].may_deny
     assert not gate_at(3)[0].may_deny
 
@@ -211,11 +210,11 @@
 
 
 def test_host_without_the_store_serves_no_key_past_the_bound(deployment):
-    """The store goes away, and a key is taken where nobody hears of it.
+    """The store becomes unreachable, and a key is revoked meanwhile.
 
-    For some seconds the host goes on. Then it answers 503 at once with a time
-    to come back, for good keys too, and serves open routes. When the store is
-    back the key that was taken is denied.
+    The host accepts keys until the bound. Then it answers 503 with Retry-After
+    for all keys, still serving public routes. Once the store is back it denies
+    the revoked key.
     """
     cut_deployment(deployment, 'north-a')
     assert ask_with_key(deployment, 'north-a').status == 200
@@ -237,17 +236,17 @@
 
 
 def test_idle_store_is_queried_and_keys_stay_valid(deployment):
-    """Nothing changes in the store for longer than the bound."""
+    """The store has no changes for longer than the bound."""
     cut_deployment(deployment, 'north-a')
     pause(6.5)
     assert ask_with_key(deployment, 'north-a').status == 200
 
 
 def test_suspended_host_runs_nothing_with_a_revoked_key(deployment):
-    """A host stands still while a key is taken away; the store goes too.
+    """A key is revoked while a host is suspended and the store unreachable.
 
-    Five seconds later a request with that key lies in its socket, on a
-    connection that was open before. It wakes, and can't have heard.
+    When the host resumes after five seconds, a request with that key waits on
+    a connection that was open before. The host can't know of the revocation.
     """
     cut_deployment(deployment, 'north-a')
     host = deployment.hosts['north-a']
@@ -267,11 +266,11 @@
 
 
 def test_host_that_starts_without_the_store_serves_no_key(deployment):
-    """A host starts while the store is away, and a neighbour tells it all.
+    """A host starts while the store is down, with a neighbour's snapshot.
 
-    The neighbour has what it knew before the cut; a key may have gone since.
-    With no proof of its own, and an old one from the neighbour, the new host
-    must serve no key, though it knows each.
+    The snapshot is older than the outage, and a key may have been revoked
+    since. Without a recent proof the new host must accept no key, though it
+    has all of them.
     """
     cut_deployment(deployment, 'north-a')
     first = deployment.hosts['north-a']
--- a/tests/gateway/test_heartbeat.py
+++ b/tests/gateway/test_heartbeat.py
@@ -1,4 +1,4 @@
-"""Heartbeats between entry hosts: their bytes, and hosts of two versions."""
+"""Heartbeats between entry hosts: their size and version compatibility."""
 
 import json
 
@@ -24,7 +24,7 @@
 
 
 class Peer:
-    """Hold the heartbeats of one host, and what it sends."""
+    """Hold the heartbeats of one host and the datagrams it sends."""
 
     def __init__(self, name):
         self.scene = Scene(name)
@@ -58,8 +58,8 @@
 
 
 def test_heartbeat_of_a_loaded_host_compresses_to_under_half():
-    """Thirty hosts tell each other of twenty targets: nearly all the bytes
-    between the data centres of a region."""
+    """Heartbeats of loaded hosts are nearly all the traffic between the data
+    centres of a region."""
     content = loaded(Peer('a')).heartbeats._encoded_heartbeat()
     assert len(content) > 900
     assert len(compress_heartbeat(content)) < 0.45 * len(content)
@@ -67,8 +67,8 @@
 
 
 def test_host_of_previous_version_gets_uncompressed_heartbeats():
-    """One host is of the version before: it does not say that it reads
-    packed heartbeats, and leaves out all fields that are new."""
+    """A host of the previous version does not report support for compressed
+    heartbeats, and omits all new fields."""
     new = loaded(Peer('a'))
     document = json.loads(Peer('b').heartbeats._encoded_heartbeat())
     for name in ('packs', 'read_tokens', 'uses', 'laws'):
--- a/tests/gateway/test_watchers.py
+++ b/tests/gateway/test_watchers.py
@@ -1,4 +1,4 @@
-"""Large regions: few hosts watch the store, and few bytes cross regions."""
+"""Store watchers of large regions, snapshots and traffic across regions."""
 
 import hashlib
 import json
@@ -44,7 +44,7 @@
 
 
 def exchange_heartbeats(hosts, lost=(), silent=()):
-    """Let every host that is not silent be heard by all others."""
+    """Record a heartbeat of each host that is not silent on all hosts."""
     for name in hosts:
         if name in silent:
             continue
@@ -77,10 +77,10 @@
 
 @pytest.mark.parametrize('way', ['silent', 'lost'])
 def test_others_take_over_from_watchers_that_fail(way):
-    """Both watchers of a data centre die, or lose the store.
+    """Both watchers of a data centre die or lose the store.
 
-    Nobody else would hear of changes: a drained target would go on getting
-    requests until a watcher is back.
+    Without a takeover no host would receive changes, and a drained target
+    would get requests until a watcher is back.
     """
     clock = FakeClock()
     hosts = tables(clock, NAMES)
@@ -101,7 +101,7 @@
 
 
 class Wire:
-    """Count datagrams by receiver."""
+    """Record the endpoints that datagrams are sent to."""
 
     def __init__(self):
         self.endpoints = []
@@ -151,9 +151,9 @@
 
 
 def test_snapshot_after_a_reload_is_whole():
-    """A host that lost its history does not know what was removed before.
+    """A host that reloaded the whole list does not know earlier removals.
 
-    Told only what changed, the other host would keep a target that left.
+    If it sent only changes, the other host would keep a removed target.
     """
     ahead, behind = catalogue(), catalogue()
     behind.apply([Record('x/a', 1, b'1')], 1)
@@ -171,11 +171,11 @@
 
 
 def test_large_configuration_reaches_a_region_over_a_narrow_link():
-    """The operator adds 1,300 routes; fourteen hosts ask one watcher at once.
+    """Fourteen hosts fetch 1,300 new routes at once over a 5 Mbit/s link.
 
-    Its link takes 5 Mbit/s. Were the answers larger than it carries within
-    the call's time, all of them would be given up and asked for again, and
-    the hosts would serve by the earlier routes for seconds.
+    If the responses did not fit through the link within the call's timeout,
+    all would fail and be retried, and the hosts would use the earlier routes
+    for seconds.
     """
     known = large_catalogue()
     snapshots = CompressedSnapshots(known)
@@ -223,15 +223,15 @@
 
 
 def digest(number):
-    """Return a name that packs as badly as a real one."""
+    """Return a name that compresses as badly as a real one."""
     return hashlib.blake2b(str(number).encode(), digest_size=5).hexdigest()
 
 
 def test_change_reaches_hosts_that_don_t_watch(deployment):
-    """A region of fourteen hosts loses those that watch the store.
+    """A region of fourteen hosts loses its store watchers.
 
-    A route is added before and another one after. Every host that lives must
-    serve both within seconds, while few watches wait at the store.
+    A route is added before and another one after. Every live host must serve
+    both within seconds, with few pending watches at the store.
     """
     deployment.put_routes(route('/a/'))
     deployment.add_target('i-1', 'desk')
@@ -268,7 +268,7 @@
 
 
 def watchers_of():
-    """Return the hosts that are to watch, by the rule they go by."""
+    """Return the hosts that must watch, computed by the same rule."""
     hosts = tables(FakeClock(), NAMES)
     exchange_heartbeats(hosts)
     return watching(hosts)
--- a/tools/ablations/fleet.py
+++ b/tools/ablations/fleet.py
@@ -1,4 +1,4 @@
-"""Safeguards of large regions, whose hosts are told of by collectors."""
+"""Safeguards of large regions, whose heartbeats go through collectors."""
 
 from tools.ablations.model import Ablation
 
@@ -8,7 +8,7 @@
 
 LARGE_FLEETS = [
     Ablation(
-        'collectors: what a host hears does not grow with its region',
+        'collectors: datagrams per host do not grow with its region',
         [
             (
                 'fleet/heartbeats.py',
@@ -19,7 +19,7 @@
         COLLECTORS + '::test_received_datagrams_do_not_grow_with_region_size',
     ),
     Ablation(
-        'collectors: a host that no digest carries tells all by itself',
+        'collectors: a host that no digest includes sends to all itself',
         [
             (
                 'fleet/heartbeats.py',
@@ -30,7 +30,7 @@
         COLLECTORS,
     ),
     Ablation(
-        'collectors: own requests count once beside the sums',
+        'collectors: own requests count once beside the digest sums',
         [
             (
                 'fleet/digests.py',
@@ -41,7 +41,7 @@
         COLLECTORS + '::test_digest_sums_equal_the_sum_over_all_hosts',
     ),
     Ablation(
-        'collectors: a digest of few hosts is not taken for many',
+        'collectors: a digest of few hosts does not replace one of many',
         [
             (
                 'fleet/digests.py',
@@ -52,7 +52,7 @@
         COLLECTORS + '::test_digest_of_a_resumed_collector_is_not_preferred',
     ),
     Ablation(
-        'collectors: data centres that hear nobody of each other begin anew',
+        'collectors: data centres reconnect after a partition',
         [
             (
                 'fleet/digest_exchange.py',
@@ -63,7 +63,7 @@
         COLLECTORS + '::test_data_centres_reconnect_after_a_partition',
     ),
     Ablation(
-        "collectors: totals of two makers aren't compared",
+        "collectors: totals of two collectors aren't compared",
         [
             (
                 'placement/targets.py',
@@ -74,7 +74,7 @@
         COLLECTORS + '::test_totals_of_two_collectors_are_not_compared',
     ),
     Ablation(
-        'collectors: hosts that read no digests are told all directly',
+        'collectors: hosts without digest support get all heartbeats',
         [
             (
                 'fleet/collectors.py',
@@ -86,7 +86,7 @@
         + '::test_host_without_digest_support_gets_heartbeats_directly',
     ),
     Ablation(
-        'gateway: plain calls leave a region that makes them wait',
+        'gateway: plain calls are relayed out of a region with long waits',
         [
             (
                 'placement/choice.py',
@@ -97,7 +97,7 @@
         CHOICE,
     ),
     Ablation(
-        'gateway: choices are blurred by what neighbours send unheard',
+        'gateway: placement is randomized by unreported load of neighbours',
         [
             (
                 'placement/choice.py',
@@ -108,7 +108,7 @@
         GATEWAY + 'test_herd.py',
     ),
     Ablation(
-        'gateway: of keepers one of each kind is asked',
+        'gateway: of preferred targets one of each kind is estimated',
         [
             (
                 'placement/estimates.py',
--- a/tools/ablations/gateway.py
+++ b/tools/ablations/gateway.py
@@ -41,7 +41,7 @@
         GATEWAY + 'test_streams.py::test_cut_stream_goes_on_at_another_engine',
     ),
     Ablation(
-        'gateway: a version never falls back',
+        'gateway: an older configuration version is ignored',
         [
             (
                 'catalogue/records.py',
@@ -89,7 +89,7 @@
         + 'test_watchers.py::test_others_take_over_from_watchers_that_fail',
     ),
     Ablation(
-        'gateway: a host that took a list tells all, not only changes',
+        'gateway: a host that reloaded its records sends all, not only changes',
         [
             (
                 'catalogue/records.py',
@@ -100,7 +100,7 @@
         GATEWAY + 'test_watchers.py::test_snapshot_after_a_reload_is_whole',
     ),
     Ablation(
-        'gateway: hosts that do not watch ask who is ahead at once',
+        'gateway: hosts that do not watch fetch from hosts ahead at once',
         [
             (
                 'fleet/snapshots.py',
@@ -145,7 +145,7 @@
         GATEWAY + 'test_soak.py::test_promises_hold_under_random_faults',
     ),
     Ablation(
-        'gateway: few hosts of another region hear a heartbeat',
+        'gateway: few hosts of another region receive a heartbeat',
         [
             (
                 'fleet/heartbeats.py',
@@ -168,7 +168,7 @@
         GATEWAY + 'test_life.py::test_leaving_host_does_not_register_again',
     ),
     Ablation(
-        'gateway: what another writer spoils is used no more',
+        'gateway: records that another writer corrupted are withdrawn',
         [
             (
                 'catalogue/records.py',
@@ -201,7 +201,7 @@
         GATEWAY + 'test_other_writers.py',
     ),
     Ablation(
-        'gateway: snapshots are packed',
+        'gateway: snapshots are compressed',
         [
             (
                 'fleet/snapshots.py',
--- a/tools/ablations/organisations.py
+++ b/tools/ablations/organisations.py
@@ -76,7 +76,7 @@
         FRESH + 'test_request_whose_key_is_revoked_while_waiting_is_not_sent',
     ),
     Ablation(
-        'revocation: a proof counts from the question',
+        'revocation: the age of a proof counts from the request',
         [
             (
                 'fleet/freshness_exchange.py',
@@ -87,7 +87,7 @@
         FRESH + 'test_proof_age_includes_delivery_delay',
     ),
     Ablation(
-        'revocation: numbers of an earlier life prove nothing',
+        'revocation: receipts of an earlier incarnation are ignored',
         [
             (
                 'fleet/freshness_exchange.py',
@@ -109,7 +109,7 @@
         FRESH + 'test_store_that_is_ahead_proves_nothing_until_that_is_known',
     ),
     Ablation(
-        'revocation: a quiet store is asked',
+        'revocation: an idle store is queried',
         [
             (
                 'catalogue/freshness_checker.py',
--- a/tools/ablations/quarantine.py
+++ b/tools/ablations/quarantine.py
@@ -20,7 +20,7 @@
         + 'test_request_that_ends_targets_is_not_sent_to_more[/ask/x]',
     ),
     Ablation(
-        'quarantine: hosts add up what each of them saw',
+        'quarantine: hosts add up the crashes that each of them saw',
         [
             (
                 'fleet/heartbeats.py',
@@ -32,7 +32,7 @@
         + 'test_all_hosts_of_a_region_hear_of_ends_that_three_saw[8-0.03]',
     ),
     Ablation(
-        'quarantine: collectors tell it',
+        'quarantine: collectors forward suspects',
         [
             (
                 'fleet/digests.py',
