--- a/jacinthfold/fleet/aggregation.py
+++ b/jacinthfold/fleet/aggregation.py
@@ -164,7 +164,7 @@
         for member in self._members.values():
             if now - member.laws_at < SUMS_SECONDS:
                 for service, reported in member.laws.items():
-                    sums[service] = _added(sums.get(service), reported)
+                    sums[service] = _add_sums(sums.get(service), reported)
         return sums
 
 
@@ -204,7 +204,9 @@
         )
 
 
-def _added(known: Iterable[float] | None, reported: list[float]) -> list[float]:
+def _add_sums(
+    known: Iterable[float] | None, reported: list[float]
+) -> list[float]:
     if known is None:
         return reported
     return [one + two for one, two in zip(known, reported, strict=False)]
--- a/jacinthfold/fleet/digest_exchange.py
+++ b/jacinthfold/fleet/digest_exchange.py
@@ -69,7 +69,7 @@
             for one in region_hosts
             if one.record.data_centre == own_data_centre
         ]
-        content = encode_digests([own, *self._view.others()])
+        content = encode_digests([own, *self._view.digests_to_forward()])
         self._send_all(members, content)
         other_data_centres = {
             one.record.data_centre for one in region_hosts
--- a/jacinthfold/fleet/digests.py
+++ b/jacinthfold/fleet/digests.py
@@ -18,7 +18,7 @@
 DIGEST_TIMEOUT_SECONDS = 0.7
 # A host that no digest includes for this long sends to all others itself,
 # because they would drop it after two seconds.
-INCLUDED_SECONDS = 1.0
+MAX_INCLUSION_AGE_SECONDS = 1.0
 # A collector that covers a tenth fewer hosts than another one is cut off from
 # some of them.
 MIN_COVERAGE_RATIO = 0.9
@@ -115,16 +115,19 @@
         current = self._current.get(own.data_centre)
         if current is None or own.name not in current.included:
             return False
-        return self._clock.monotonic() - current.made_at < INCLUDED_SECONDS
+        return (
+            self._clock.monotonic() - current.made_at
+            < MAX_INCLUSION_AGE_SECONDS
+        )
 
-    def others(self) -> list[Digest]:
+    def digests_to_forward(self) -> list[Digest]:
         """Return current digests of other data centres for forwarding."""
         now = self._clock.monotonic()
         found = []
         for name, current in self._current.items():
             age_seconds = now - current.made_at
             is_other = name != self._hosts.own.data_centre
-            if is_other and age_seconds < INCLUDED_SECONDS:
+            if is_other and age_seconds < MAX_INCLUSION_AGE_SECONDS:
                 current.digest.age_ms = round(age_seconds * 1000)
                 found.append(current.digest)
         return found
@@ -142,7 +145,7 @@
         digest, targets = current.digest, self._targets
         own = self._own_loads_in(digest.hosts)
         loads = {
-            incarnation_id: _without(figures, own.get(incarnation_id))
+            incarnation_id: _subtract(figures, own.get(incarnation_id))
             for incarnation_id, figures in digest.loads.items()
         }
         reporter = f'sum of {digest.data_centre}'
@@ -198,7 +201,7 @@
     )
 
 
-def _without(figures: LoadFigures, own: LoadFigures | None) -> Load:
+def _subtract(figures: LoadFigures, own: LoadFigures | None) -> Load:
     if own is None:
         return Load(*figures)
     return Load(
--- a/jacinthfold/fleet/heartbeats.py
+++ b/jacinthfold/fleet/heartbeats.py
@@ -79,8 +79,8 @@
         self._collectors = Collectors(hosts)
         self._aggregator = HeartbeatAggregator(hosts.own)
         self._digest_view = DigestView(hosts, targets, clock)
-        self._digest_view.on_suspects = lambda words: (
-            self.builder.suspects.take(words, is_near=True)
+        self._digest_view.on_suspects = lambda reports: (
+            self.builder.suspects.take(reports, is_near=True)
         )
         self.freshness_exchange = FreshnessExchange(
             hosts.own, catalogue.freshness, clock
--- a/tests/gateway/beating.py
+++ b/tests/gateway/beating.py
@@ -26,10 +26,10 @@
         self.scene = Scene(record.name, fleet.clock)
         self.hosts = HostTable(record, fleet.clock)
         self.hosts.own_state = HostState.ACTIVE
-        made, _ = catalogue(fleet.clock)
+        host_catalogue, _ = catalogue(fleet.clock)
         self.heartbeats = Heartbeats(
             self.hosts,
-            made,
+            host_catalogue,
             self.scene.targets,
             self.scene.regions,
             self.scene.placer,
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -67,7 +67,7 @@
     assert freshness.age_seconds == 0
 
 
-def proven_fleet(count, data_centres=('n-1', 'n-2')):
+def fleet_exchanging_proofs(count, data_centres=('n-1', 'n-2')):
     """Return hosts that exchange proofs, none of which has one yet."""
     fleet = Fleet(count, data_centres)
     for host in fleet.hosts.values():
@@ -88,7 +88,7 @@
     With and without collectors, its proof must reach each host of its data
     centre within two seconds, and its age must never shrink on the way.
     """
-    fleet = proven_fleet(count, ('n-1',))
+    fleet = fleet_exchanging_proofs(count, ('n-1',))
     reader = next(iter(fleet.hosts.values()))
     read_at = fleet.clock.boottime()
     freshness_of(reader).record_revision(read_at, 1)
@@ -105,7 +105,7 @@
     If the age counted from when they are read, an old proof would seem new and
     a key revoked meanwhile would be accepted beyond the bound.
     """
-    fleet = proven_fleet(4, ('n-1',))
+    fleet = fleet_exchanging_proofs(4, ('n-1',))
     reader, other = list(fleet.hosts.values())[:2]
     read_at = fleet.clock.boottime()
     freshness_of(reader).record_revision(read_at, 1)
@@ -124,7 +124,7 @@
 
 def test_receipt_of_an_earlier_incarnation_is_ignored():
     """A host restarts, and a neighbour still acknowledges older messages."""
-    fleet = proven_fleet(2, ('n-1',))
+    fleet = fleet_exchanging_proofs(2, ('n-1',))
     one, two = fleet.hosts.values()
     freshness_of(one).record_revision(fleet.clock.boottime(), 1)
     fleet.run(1)
@@ -136,14 +136,14 @@
     assert freshness_of(two).proof.as_of == before
 
 
-def gate_at(age_seconds):
+def gate_with_age(age_seconds):
     """Return a key gate whose records have an age, with one organisation."""
-    made, _ = catalogue()
-    made.apply([record(document(tenant('north', KEY)), 1)], 1)
-    clock = made.freshness._clock
-    made.freshness.record_revision(clock.boottime(), 1)
+    host_catalogue, _ = catalogue()
+    host_catalogue.apply([record(document(tenant('north', KEY)), 1)], 1)
+    clock = host_catalogue.freshness._clock
+    host_catalogue.freshness.record_revision(clock.boottime(), 1)
     clock.advance(age_seconds)
-    return KeyGate(made, BOUND_SECONDS), made
+    return KeyGate(host_catalogue, BOUND_SECONDS), host_catalogue
 
 
 def request_with(key):
@@ -159,41 +159,45 @@
 )
 def test_request_is_not_sent_past_the_bound(age_seconds, barrier):
     """A host accepts a request and is suspended before sending it."""
-    gate, _ = gate_at(age_seconds)
+    gate, _ = gate_with_age(age_seconds)
     assert gate.barrier(request_with(KEY)) is barrier
 
 
 def test_request_whose_key_is_revoked_while_waiting_is_not_sent():
-    gate, made = gate_at(0)
+    gate, host_catalogue = gate_with_age(0)
     assert gate.barrier(request_with(KEY)) is None
-    made.apply([record(document(tenant('north', OTHER), version=6), 2)], 2)
+    host_catalogue.apply(
+        [record(document(tenant('north', OTHER), version=6), 2)], 2
+    )
     assert gate.barrier(request_with(KEY)) is Barrier.REVOKED
 
 
 def test_request_whose_key_changes_organisation_is_not_sent():
-    gate, made = gate_at(0)
+    gate, host_catalogue = gate_with_age(0)
     moved = document(tenant('north'), tenant('south', KEY), version=6)
-    made.apply([record(moved, 2)], 2)
+    host_catalogue.apply([record(moved, 2)], 2)
     assert gate.barrier(request_with(KEY)) is Barrier.REVOKED
 
 
 def test_relayed_request_needs_its_organisation_here():
     """Another host admitted it, but here the organisation has no keys left."""
-    gate, made = gate_at(0)
+    gate, host_catalogue = gate_with_age(0)
     request = request_with(KEY)
     request.is_relayed = True
     assert gate.barrier(request) is None
-    made.apply([record(document(tenant('x', OTHER), version=6), 2)], 2)
+    host_catalogue.apply(
+        [record(document(tenant('x', OTHER), version=6), 2)], 2
+    )
     assert gate.barrier(request) is Barrier.REVOKED
 
 
 def test_unknown_key_is_not_denied_by_old_knowledge():
     """A key may just have been added, and callers don't retry a denial."""
-    assert gate_at(0)[0].may_deny
-    assert not gate_at(3)[0].may_deny
+    assert gate_with_age(0)[0].may_deny
+    assert not gate_with_age(3)[0].may_deny
 
 
-def cut_deployment(deployment, *names):
+def start_hosts_with_keys(deployment, *names):
     deployment.put_routes(
         route('/order/'),
         route('/open/', public=True),
@@ -216,7 +220,7 @@
     for all keys, still serving public routes. Once the store is back it denies
     the revoked key.
     """
-    cut_deployment(deployment, 'north-a')
+    start_hosts_with_keys(deployment, 'north-a')
     assert ask_with_key(deployment, 'north-a').status == 200
     deployment.store.is_down = True
     pause(5.5)
@@ -237,7 +241,7 @@
 
 def test_idle_store_is_queried_and_keys_stay_valid(deployment):
     """The store has no changes for longer than the bound."""
-    cut_deployment(deployment, 'north-a')
+    start_hosts_with_keys(deployment, 'north-a')
     pause(6.5)
     assert ask_with_key(deployment, 'north-a').status == 200
 
@@ -248,7 +252,7 @@
     When the host resumes after five seconds, a request with that key waits on
     a connection that was open before. The host can't know of the revocation.
     """
-    cut_deployment(deployment, 'north-a')
+    start_hosts_with_keys(deployment, 'north-a')
     host = deployment.hosts['north-a']
     connection = Connection(host.callers)
     connection.send('/order/1', headers=[bearer(KEY)], request_id='before')
@@ -272,7 +276,7 @@
     since. Without a recent proof the new host must accept no key, though it
     has all of them.
     """
-    cut_deployment(deployment, 'north-a')
+    start_hosts_with_keys(deployment, 'north-a')
     first = deployment.hosts['north-a']
     deployment.store.is_down = True
     pause(5.5)
@@ -290,8 +294,8 @@
     hosts = list(fleet.hosts.values())
     hosts[1].heartbeats.builder.reaches_store = lambda: False
     fleet.run(1)
-    made, _ = catalogue(fleet.clock)
-    directory = Directory(hosts[0].hosts, made, random.Random(1))
+    host_catalogue, _ = catalogue(fleet.clock)
+    directory = Directory(hosts[0].hosts, host_catalogue, random.Random(1))
     names = [one.hosts.own.name for one in hosts]
 
     def named():
--- a/tests/gateway/test_heartbeat.py
+++ b/tests/gateway/test_heartbeat.py
@@ -13,7 +13,7 @@
 from jacinthfold.placement.target import Load
 from tests.gateway.test_placement import Scene
 from tests.gateway.test_translation import catalogue
-from tests.gateway.test_watchers import digest
+from tests.gateway.test_watchers import hash_name
 
 
 def host(name):
@@ -29,10 +29,10 @@
     def __init__(self, name):
         self.scene = Scene(name)
         self.hosts = HostTable(host(name), self.scene.clock)
-        made, _ = catalogue()
+        host_catalogue, _ = catalogue()
         self.heartbeats = Heartbeats(
             self.hosts,
-            made,
+            host_catalogue,
             self.scene.targets,
             self.scene.regions,
             self.scene.placer,
@@ -51,7 +51,7 @@
 
 def loaded(peer):
     for number in range(20):
-        target = peer.scene.add(f'i-{digest(number)}')
+        target = peer.scene.add(f'i-{hash_name(number)}')
         target.own = Load(number % 5 + 1, 300 * number, 9000 * number, 0)
         target.own_read_tokens = 10000.0 * number
     return peer
--- a/tests/gateway/test_watchers.py
+++ b/tests/gateway/test_watchers.py
@@ -39,7 +39,7 @@
     )
 
 
-def tables(clock, names):
+def host_tables(clock, names):
     return {name: HostTable(record(name), clock) for name in names}
 
 
@@ -57,22 +57,22 @@
             )
 
 
-def watching(hosts):
+def watcher_names(hosts):
     return {
         name for name, table in hosts.items() if Watchers(table).own_watches()
     }
 
 
 def test_in_a_small_region_all_hosts_watch():
-    hosts = tables(FakeClock(), NAMES[:3])
+    hosts = host_tables(FakeClock(), NAMES[:3])
     exchange_heartbeats(hosts)
-    assert watching(hosts) == set(hosts)
+    assert watcher_names(hosts) == set(hosts)
 
 
 def test_in_a_large_region_few_hosts_watch():
-    hosts = tables(FakeClock(), NAMES)
+    hosts = host_tables(FakeClock(), NAMES)
     exchange_heartbeats(hosts)
-    assert len(watching(hosts)) == WATCHERS_PER_DATA_CENTRE
+    assert len(watcher_names(hosts)) == WATCHERS_PER_DATA_CENTRE
 
 
 @pytest.mark.parametrize('way', ['silent', 'lost'])
@@ -83,24 +83,24 @@
     would get requests until a watcher is back.
     """
     clock = FakeClock()
-    hosts = tables(clock, NAMES)
+    hosts = host_tables(clock, NAMES)
     exchange_heartbeats(hosts)
-    failed = watching(hosts)
+    failed = watcher_names(hosts)
     clock.advance(2.1)
     exchange_heartbeats(hosts, **{way: failed})
     left = {name: hosts[name] for name in NAMES if name not in failed}
-    assert len(watching(left)) == WATCHERS_PER_DATA_CENTRE
+    assert len(watcher_names(left)) == WATCHERS_PER_DATA_CENTRE
 
 
 def test_host_that_hears_nobody_watches():
     clock = FakeClock()
-    hosts = tables(clock, NAMES)
+    hosts = host_tables(clock, NAMES)
     exchange_heartbeats(hosts)
     clock.advance(2.1)
-    assert watching(hosts) == set(hosts)
+    assert watcher_names(hosts) == set(hosts)
 
 
-class Wire:
+class RecordingTransport:
     """Record the endpoints that datagrams are sent to."""
 
     def __init__(self):
@@ -125,13 +125,13 @@
         None,
         clock,
     )
-    wire = Wire()
-    heartbeats.connection_made(wire)
+    transport = RecordingTransport()
+    heartbeats.connection_made(transport)
     for _ in range(3):
         heartbeats.send_heartbeats()
-    assert len(wire.endpoints) == REMOTE_FANOUT
+    assert len(transport.endpoints) == REMOTE_FANOUT
     heartbeats.broadcast()
-    assert len(wire.endpoints) == REMOTE_FANOUT + 30
+    assert len(transport.endpoints) == REMOTE_FANOUT + 30
 
 
 def catalogue():
@@ -212,7 +212,7 @@
     document = {
         'version': 1,
         'routes': [
-            {**route(f'/{digest(number)}/'), 'name': digest(-number)}
+            {**route(f'/{hash_name(number)}/'), 'name': hash_name(-number)}
             for number in range(1300)
         ],
         'backends': [],
@@ -222,7 +222,7 @@
     return known
 
 
-def digest(number):
+def hash_name(number):
     """Return a name that compresses as badly as a real one."""
     return hashlib.blake2b(str(number).encode(), digest_size=5).hexdigest()
 
@@ -249,7 +249,7 @@
     )
     deployment.put_routes(route('/a/'), route('/b/'))
     wait_served_everywhere(deployment, NAMES, '/b/x')
-    for name in watchers_of():
+    for name in expected_watchers():
         deployment.hosts[name].kill()
     alive = [
         name for name in NAMES if deployment.hosts[name].process.poll() is None
@@ -267,8 +267,8 @@
         )
 
 
-def watchers_of():
+def expected_watchers():
     """Return the hosts that must watch, computed by the same rule."""
-    hosts = tables(FakeClock(), NAMES)
+    hosts = host_tables(FakeClock(), NAMES)
     exchange_heartbeats(hosts)
-    return watching(hosts)
+    return watcher_names(hosts)
