--- a/jacinthfold/fleet/directory.py
+++ b/jacinthfold/fleet/directory.py
@@ -32,13 +32,19 @@
     def resolve(
         self, host_name: str, region: str, data_centre: str
     ) -> list[HostRecord]:
-        """Return hosts for a caller in random order, nearest ones only.
+        """Return the nearest hosts for a caller in random order.
 
         The list is empty if no allowed host is known to serve.
         """
-        near = self._reaching_store(self._hosts.serving(region))
-        same = [one for one in near if one.data_centre == data_centre]
-        chosen = same if len(same) >= MIN_NEARBY_HOSTS else near
+        region_hosts = self._reaching_store(self._hosts.serving(region))
+        local_hosts = [
+            one for one in region_hosts if one.data_centre == data_centre
+        ]
+        chosen = (
+            local_hosts
+            if len(local_hosts) >= MIN_NEARBY_HOSTS
+            else region_hosts
+        )
         if not chosen:
             chosen = self._in_other_regions(host_name)
         self._random.shuffle(chosen)
@@ -60,14 +66,14 @@
     def _in_other_regions(self, host_name: str) -> list[HostRecord]:
         # A host that has just started has no routes and no home regions. It
         # could send callers to a region that must not serve them, where they
-        # would stay for seconds. Other hosts, or this one soon, know better.
+        # would stay for seconds. Other hosts have the routes already.
         if self._catalogue.routes is None:
             return []
         allowed = self._catalogue.routes.common_home_regions(host_name)
-        everywhere = sorted(self._hosts.regions())
+        region_names = sorted(self._hosts.regions())
         found = [
             host
-            for region in everywhere
+            for region in region_names
             if allowed is None or region in allowed
             for host in self._hosts.serving(region)
         ]
--- a/jacinthfold/fleet/heartbeats.py
+++ b/jacinthfold/fleet/heartbeats.py
@@ -131,10 +131,10 @@
         if self._count % COLLECTOR_CHECK_INTERVAL_HEARTBEATS == 1:
             self._update_collected(is_collected=self._collectors.are_used())
         self._send_to_own_region()
-        every = REMOTE_INTERVAL_HEARTBEATS
+        interval = REMOTE_INTERVAL_HEARTBEATS
         if self._is_collected:
-            every = COLLECTED_REMOTE_INTERVAL_HEARTBEATS
-        if self._count % every == 0:
+            interval = COLLECTED_REMOTE_INTERVAL_HEARTBEATS
+        if self._count % interval == 0:
             self._send_to(
                 self._sample_remote_hosts(),
                 self._encoded_heartbeat(is_near=False),
@@ -188,10 +188,10 @@
         # region, so the interval grows too. At the maximum, loads still arrive
         # while their prompts are being prefilled.
         own = self._hosts.own
-        near = len(self._hosts.names_in(own.region))
+        host_count = len(self._hosts.names_in(own.region))
         return min(
             MAX_HEARTBEAT_INTERVAL_SECONDS,
-            HEARTBEAT_INTERVAL_SECONDS * max(1, near / FULL_RATE_HOSTS),
+            HEARTBEAT_INTERVAL_SECONDS * max(1, host_count / FULL_RATE_HOSTS),
         )
 
     def _update_collected(self, *, is_collected: bool) -> None:
@@ -205,9 +205,9 @@
             )
 
     def _send_to_own_region(self) -> None:
-        message = self._own_region_heartbeat()
-        self._aggregator.add(message, self._clock.monotonic())
-        content = encode(message)
+        heartbeat = self._own_region_heartbeat()
+        self._aggregator.add(heartbeat, self._clock.monotonic())
+        content = encode(heartbeat)
         if not self._is_collected:
             self._send_to(self._hosts.others_in_own_region(), content)
             return
--- a/jacinthfold/fleet/watchers.py
+++ b/jacinthfold/fleet/watchers.py
@@ -40,8 +40,8 @@
         )
 
     def _should_all_watch(self) -> bool:
-        near = self._hosts.names_in(self._hosts.own.region)
-        return len(near) < MIN_HOSTS_FOR_WATCHERS
+        host_names = self._hosts.names_in(self._hosts.own.region)
+        return len(host_names) < MIN_HOSTS_FOR_WATCHERS
 
     def _ranked_candidates(self) -> list[str]:
         # Only live hosts that reach the store can watch for others. If they
--- a/tests/gateway/test_rebirth.py
+++ b/tests/gateway/test_rebirth.py
@@ -130,7 +130,7 @@
     heard = Scene('b', scene.clock)
     other = heard.add('i-1', started_at_ms=BORN)
     sender, receiver = _heartbeats(scene, 'a'), _heartbeats(heard, 'b')
-    document = json.loads(sender._message())
+    document = json.loads(sender._encoded_heartbeat())
     document['a_later_field'] = {'x': [1]}
     receiver.datagram_received(json.dumps(document).encode(), ('a', 1))
     assert other.load(scene.clock.monotonic()).urgent_tokens == 5
