--- a/jacinthfold/fleet/snapshots.py
+++ b/jacinthfold/fleet/snapshots.py
@@ -38,13 +38,13 @@
         self,
         hosts: HostTable,
         catalogue: Catalogue,
-        caller: HttpCaller,
+        http_client: HttpCaller,
         clock: Clock,
     ) -> None:
         """Initialize a fetcher that updates a catalogue."""
         self._hosts = hosts
         self._catalogue = catalogue
-        self._caller = caller
+        self._http_client = http_client
         self._clock = clock
         self.seeds: tuple[Endpoint, ...] = ()
         # Whether this host watches the store itself.
@@ -90,7 +90,7 @@
         peer = f'{endpoint[0]}:{endpoint[1]}'
         try:
             path = f'{SNAPSHOT_PATH}?since={self._catalogue.revision}&packed=1'
-            content = await self._caller.get(
+            content = await self._http_client.get(
                 endpoint, path, CALL_TIMEOUT_SECONDS
             )
             snapshot = decode_snapshot(content)
