--- a/jacinthfold/fleet/aggregation.py
+++ b/jacinthfold/fleet/aggregation.py
@@ -1,4 +1,4 @@
-"""Sum what the hosts of the own data centre tell."""
+"""Aggregate the heartbeats of the own data centre into digests."""
 
 from collections.abc import Iterable, Mapping
 
@@ -12,16 +12,16 @@
 from jacinthfold.placement.prefix_cache import RecentPrefixUses
 from jacinthfold.placement.request_limit import LimitReport
 
-# A host's address is told in each digest for this long after it was first
-# heard, and in every fifth one after that.
+# A digest includes a host's endpoint for this long after its first heartbeat;
+# after that only every fifth digest does.
 NEW_HOST_SECONDS = 2.0
 ENDPOINT_INTERVAL_DIGESTS = 5
-# Laws and read tokens change over seconds.
+# Latency models and prefilled tokens change only over seconds.
 FULL_INTERVAL_DIGESTS = 5
 
 
 class _Member:
-    """Hold one host's latest heartbeat."""
+    """Hold the latest heartbeat of one host."""
 
     __slots__ = (
         'first_heard_at',
@@ -49,26 +49,26 @@
 
 
 class HeartbeatAggregator:
-    """Keep the latest heartbeats of a data centre, and make its digests."""
+    """Hold the latest heartbeats of a data centre and sum them up."""
 
     def __init__(self, own: HostRecord) -> None:
-        """Take the host that may be asked to make digests."""
+        """Initialize an aggregator on a host that may be a collector."""
         self._own = own
         self._members: dict[str, _Member] = {}
         self._uses = RecentPrefixUses()
-        # Tokens that targets have read for members since they were first
-        # heard here.
+        # Tokens that targets prefilled for members since this host first
+        # received their heartbeats.
         self._prefilled_tokens: dict[str, float] = {}
         self._count = 0
 
     def add(self, heartbeat: Heartbeat, now: float) -> None:
-        """Take a heartbeat of a host of the own data centre."""
+        """Add a heartbeat of a host of the own data centre."""
         name = heartbeat.host.name
         member = self._members.get(name)
         if member is None or _is_older(member, heartbeat):
             member = _Member(heartbeat, now)
             self._members[name] = member
-            # What it has read before was told by others.
+            # Other collectors reported what was prefilled before.
             member.prefilled_tokens = dict(heartbeat.read_tokens)
         elif heartbeat.host.incarnation != member.heartbeat.host.incarnation:
             return
@@ -79,7 +79,7 @@
                 self._uses.record_reported(incarnation_id, segment_name, now)
 
     def make_digest(self, now: float, rank: int) -> Digest:
-        """Return what was heard, as told by a collector of a rank."""
+        """Return the next digest of this host as a collector of a rank."""
         self._drop_silent(now)
         self._count += 1
         own = self._own
@@ -119,7 +119,7 @@
             member.prefilled_tokens[incarnation_id] = tokens
 
     def _current_prefilled_tokens(self) -> dict[str, float]:
-        # Lives that no member names any more are gone.
+        # Incarnations that no member reports any more are gone.
         reported = {
             incarnation_id
             for member in self._members.values()
@@ -148,7 +148,7 @@
         return sums
 
     def _limits(self, now: float) -> dict[str, LimitReport]:
-        """Return the newest word of all members on each target's limit."""
+        """Return the members' newest report of each target's limit."""
         newest: dict[str, LimitReport] = {}
         for member in self._members.values():
             held_ms = round((now - member.heard_at) * 1000)
