--- a/tools/ablations/decisions.py
+++ b/tools/ablations/decisions.py
@@ -51,7 +51,7 @@
         [
             (
                 'placement/targets.py',
-                '            self._retained.add(\n                target.record.incarnation_id, target.pushback\n            )',
+                '            self._retained.add(target.record.incarnation_id, target.pushback)',
                 '',
             ),
         ],
