--- a/jacinthfold/gateway/cluster_view.py
+++ b/jacinthfold/gateway/cluster_view.py
@@ -194,8 +194,8 @@
                 for entry in self.hosts.others()
             ],
             'engine_laws': {
-                service: latency_model.fields()
-                for service, latency_model in self.targets.latency_models.all().items()
+                service: model.fields()
+                for service, model in self.targets.latency_models.all().items()
             },
             'quarantined': self.quarantine.suspects.refused(),
             'targets': [
