--- a/jacinthfold/cli.py
+++ b/jacinthfold/cli.py
@@ -84,8 +84,8 @@
 
     settings = config.load(path)
     logs.set_up(settings.host.log_level, settings.host.name)
-    ended = Node(settings, env.clock).run()
-    return ExitStatus.SUCCESS if ended else ExitStatus.ERROR
+    has_drained = Node(settings, env.clock).run()
+    return ExitStatus.SUCCESS if has_drained else ExitStatus.ERROR
 
 
 @program.command()
@@ -134,9 +134,9 @@
     Asking again is safe: a plan takes effect once, and the answer to each
     later call is the revision that it became.
     """
-    answer = client.call('POST', f'/plans/{plan_id}/confirm')
-    output.document(answer)
-    output.line(f'in force as revision {answer["revision"]}')
+    response = client.call('POST', f'/plans/{plan_id}/confirm')
+    output.document(response)
+    output.line(f'in force as revision {response["revision"]}')
 
 
 @program.command('list')
--- a/jacinthfold/commands.py
+++ b/jacinthfold/commands.py
@@ -42,17 +42,17 @@
     def call(self, method: str, path: str, document: object = None) -> Any:
         """Send a request and return the decoded JSON; raise CommandError."""
         try:
-            answer = self._client.call_json(
+            response = self._client.call_json(
                 method,
                 f'{self._base_url}{path}',
                 document,
                 headers=self._headers,
                 timeout_seconds=TIMEOUT_SECONDS,
             )
-            decoded = answer.json()
+            decoded = response.json()
         except ClientError as error:
             raise _unreachable(self._base_url, error, method) from error
-        if answer.status >= HTTPStatus.BAD_REQUEST:
+        if response.status >= HTTPStatus.BAD_REQUEST:
             problem = decoded['error']
             status = STATUS_BY_CODE.get(problem['code'], ExitStatus.REFUSED)
             raise CommandError(problem['message'], status)
--- a/jacinthfold/gateway/cluster_view.py
+++ b/jacinthfold/gateway/cluster_view.py
@@ -48,7 +48,7 @@
         own: HostRecord,
         settings: GatewaySettings,
         adapter: Adapter,
-        caller: PooledHttpClient,
+        http_client: PooledHttpClient,
         clock: Clock,
     ) -> None:
         """Create and connect the components; the view is empty."""
@@ -85,7 +85,7 @@
         self.heartbeats.builder.reaches_store = self.reaches_store
         self.organisations.connect(self.follower, self.heartbeats)
         self.snapshots = SnapshotFetcher(
-            self.hosts, self.catalogue, caller, clock
+            self.hosts, self.catalogue, http_client, clock
         )
         watchers = Watchers(self.hosts)
         self.follower.watches = watchers.own_watches
--- a/jacinthfold/gateway/handlers.py
+++ b/jacinthfold/gateway/handlers.py
@@ -30,14 +30,16 @@
         self._api = api
         self._is_ready = is_ready
 
-    async def handle(self, request: RawRequest, answer: CallerResponse) -> None:
+    async def handle(
+        self, request: RawRequest, response: CallerResponse
+    ) -> None:
         """Respond with 200 if ready, 503 if not, 404 for other paths."""
         status = HTTPStatus.NOT_FOUND
         if self._api.is_readiness_request(request.target.decode('latin-1')):
             status = HTTPStatus.SERVICE_UNAVAILABLE
             if self._is_ready():
                 status = HTTPStatus.OK
-        await answer.send(status, [], b'')
+        await response.send(status, [], b'')
 
 
 class DirectoryHandler:
@@ -48,20 +50,22 @@
         self._api = api
         self._directory = directory
 
-    async def handle(self, request: RawRequest, answer: CallerResponse) -> None:
+    async def handle(
+        self, request: RawRequest, response: CallerResponse
+    ) -> None:
         """Respond with entry hosts, or 503 if none is known to be serving."""
         query = self._api.parse_directory_request(
             request.target.decode('latin-1')
         )
         if query is None:
-            await answer.send(HTTPStatus.NOT_FOUND, [], b'')
+            await response.send(HTTPStatus.NOT_FOUND, [], b'')
             return
         hosts = self._directory.resolve(*query)
         if not hosts:
-            await answer.send(HTTPStatus.SERVICE_UNAVAILABLE, [], b'')
+            await response.send(HTTPStatus.SERVICE_UNAVAILABLE, [], b'')
             return
         body = self._api.encode_directory_response(hosts, DIRECTORY_TTL_SECONDS)
-        await answer.send(HTTPStatus.OK, JSON_HEADERS, body)
+        await response.send(HTTPStatus.OK, JSON_HEADERS, body)
 
 
 class ControlHandler:
@@ -75,28 +79,30 @@
         self._compressed_snapshots = CompressedSnapshots(catalogue)
         self._dump_state = dump_state
 
-    async def handle(self, request: RawRequest, answer: CallerResponse) -> None:
+    async def handle(
+        self, request: RawRequest, response: CallerResponse
+    ) -> None:
         """Respond with a snapshot or with the state as JSON."""
         target = request.target.decode('latin-1')
         path = target.partition('?')[0]
         if path == SNAPSHOT_PATH:
             try:
-                snapshot_request = SnapshotQuery(target)
+                query = SnapshotQuery(target)
             except ValueError:
-                await answer.send(HTTPStatus.BAD_REQUEST, [], b'')
+                await response.send(HTTPStatus.BAD_REQUEST, [], b'')
                 return
-            body = self._snapshot(snapshot_request)
+            body = self._snapshot(query)
         elif path == '/state':
             body = json.dumps(self._dump_state(), indent=1).encode()
         else:
-            await answer.send(HTTPStatus.NOT_FOUND, [], b'')
+            await response.send(HTTPStatus.NOT_FOUND, [], b'')
             return
-        await answer.send(HTTPStatus.OK, JSON_HEADERS, body)
+        await response.send(HTTPStatus.OK, JSON_HEADERS, body)
 
-    def _snapshot(self, snapshot_request: SnapshotQuery) -> bytes:
-        if snapshot_request.accepts_compressed:
-            return self._compressed_snapshots.since(snapshot_request.since)
-        return encode_snapshot(self._catalogue, snapshot_request.since)
+    def _snapshot(self, query: SnapshotQuery) -> bytes:
+        if query.accepts_compressed:
+            return self._compressed_snapshots.since(query.since)
+        return encode_snapshot(self._catalogue, query.since)
 
 
 class MetricsHandler:
@@ -106,8 +112,10 @@
         """Set the metrics to expose."""
         self._metrics = metrics
 
-    async def handle(self, request: RawRequest, answer: CallerResponse) -> None:
+    async def handle(
+        self, request: RawRequest, response: CallerResponse
+    ) -> None:
         """Respond with all metrics in text format."""
-        await answer.send(
+        await response.send(
             HTTPStatus.OK, TEXT_HEADERS, self._metrics.exposition()
         )
--- a/jacinthfold/gateway/node.py
+++ b/jacinthfold/gateway/node.py
@@ -50,7 +50,7 @@
         settings: GatewaySettings,
         settings_path: Path,
         adapter: Adapter,
-        caller: PooledHttpClient,
+        http_client: PooledHttpClient,
         clock: Clock,
     ) -> None:
         """Create and connect the components; nothing runs yet."""
@@ -62,7 +62,7 @@
         self.metrics = ProxyMetrics()
         self._drain = Drain(clock)
         own = _own_record(settings)
-        self._view = ClusterView(own, settings, adapter, caller, clock)
+        self._view = ClusterView(own, settings, adapter, http_client, clock)
         self._build_listeners(adapter)
         self.metrics.in_flight.set_function(self._in_flight_count)
         self.metrics.store_revision.set_function(
--- a/jacinthfold/gateway/request_handlers.py
+++ b/jacinthfold/gateway/request_handlers.py
@@ -43,7 +43,9 @@
         self._dialect = dialect
         self._clock = clock
 
-    async def handle(self, request: RawRequest, answer: CallerResponse) -> None:
+    async def handle(
+        self, request: RawRequest, response: CallerResponse
+    ) -> None:
         """Match a request to its route and forward it."""
         now = self._clock.monotonic()
         headers = relay_header.without_internal(request.headers)
@@ -51,7 +53,7 @@
             facts = self._dialect.read_request(headers)
         except ValueError as error:
             logs.warning('request_malformed', status=400, reason=str(error))
-            await answer.send(HTTPStatus.BAD_REQUEST, [], b'')
+            await response.send(HTTPStatus.BAD_REQUEST, [], b'')
             return
         parsed = Request(
             request.method, request.target, headers, request.body, facts
@@ -62,20 +64,20 @@
         if table is None:
             self._log_unrouted(parsed, HTTPStatus.SERVICE_UNAVAILABLE, 0)
             retry_after = self._dialect.retry_headers(NOT_READY_RETRY_SECONDS)
-            await answer.send(
+            await response.send(
                 HTTPStatus.SERVICE_UNAVAILABLE, [*id_headers, *retry_after], b''
             )
             return
         route = table.find(facts.host_name, parsed.path)
         if route is None:
             self._log_unrouted(parsed, HTTPStatus.NOT_FOUND, table.version)
-            await answer.send(HTTPStatus.NOT_FOUND, id_headers, b'')
+            await response.send(HTTPStatus.NOT_FOUND, id_headers, b'')
             return
         parsed.route = route
         if len(table.organisations):
             status = self._identify(parsed)
             if status is not HTTPStatus.OK:
-                await self._reject_unidentified(parsed, status, answer)
+                await self._reject_unidentified(parsed, status, response)
                 return
         parsed.service_name = route.service_for(facts.request_id)
         allowed_seconds = route.timeout_seconds
@@ -83,9 +85,9 @@
             allowed_seconds = min(allowed_seconds, facts.caller_timeout_seconds)
         parsed.deadline = now + allowed_seconds
         if not self._drain.may_accept(parsed):
-            await _reject_draining(parsed, self._dialect, answer)
+            await _reject_draining(parsed, self._dialect, response)
             return
-        await self._forwarder.serve(parsed, answer)
+        await self._forwarder.serve(parsed, response)
 
     def _identify(self, parsed: Request) -> HTTPStatus:
         """Identify the organisation; return 200 or the rejection status."""
@@ -106,7 +108,7 @@
         return HTTPStatus.OK
 
     async def _reject_unidentified(
-        self, parsed: Request, status: HTTPStatus, answer: CallerResponse
+        self, parsed: Request, status: HTTPStatus, response: CallerResponse
     ) -> None:
         logs.event(
             'request_not_identified',
@@ -119,7 +121,7 @@
             headers.append(CHALLENGE)
         else:
             headers += self._dialect.retry_headers(STALE_RETRY_AFTER_SECONDS)
-        await answer.send(status, headers, b'')
+        await response.send(status, headers, b'')
 
     def _log_unrouted(self, parsed: Request, status: int, version: int) -> None:
         logs.event(
@@ -150,7 +152,9 @@
         self._dialect = dialect
         self._clock = clock
 
-    async def handle(self, request: RawRequest, answer: CallerResponse) -> None:
+    async def handle(
+        self, request: RawRequest, response: CallerResponse
+    ) -> None:
         """Forward a request by the route in its relay header."""
         try:
             facts = self._dialect.read_request(request.headers)
@@ -161,49 +165,51 @@
                 request.body,
                 facts,
             )
-            caller = relay_header.apply_route(parsed, self._clock.monotonic())
+            organisation_name = relay_header.apply_route(
+                parsed, self._clock.monotonic()
+            )
         except (ValueError, KeyError) as error:
             logs.warning('relay_malformed', reason=repr(error))
-            await answer.send(HTTPStatus.BAD_REQUEST, [], b'')
+            await response.send(HTTPStatus.BAD_REQUEST, [], b'')
             return
         parsed.headers = relay_header.without_internal(parsed.headers)
-        if caller:
-            parsed.organisation = self._key_gate.named(caller)
-            parsed.facts.caller = caller
+        if organisation_name:
+            parsed.organisation = self._key_gate.named(organisation_name)
+            parsed.facts.caller = organisation_name
             if parsed.organisation is None:
                 # The organisation may be new or removed; the relaying host
                 # may have a newer configuration.
                 await _reject_unknown_organisation(
-                    parsed, self._dialect, answer
+                    parsed, self._dialect, response
                 )
                 return
         if not self._drain.may_accept(parsed):
-            await _reject_draining(parsed, self._dialect, answer)
+            await _reject_draining(parsed, self._dialect, response)
             return
-        await self._forwarder.serve(parsed, answer)
+        await self._forwarder.serve(parsed, response)
 
 
 async def _reject_draining(
-    parsed: Request, dialect: Dialect, answer: CallerResponse
+    parsed: Request, dialect: Dialect, response: CallerResponse
 ) -> None:
     """Reject a request so that the caller retries at another host."""
     logs.event('request_refused_leaving', request=parsed.facts.request_id)
-    await _reject(parsed, dialect, answer)
+    await _reject(parsed, dialect, response)
 
 
 async def _reject_unknown_organisation(
-    parsed: Request, dialect: Dialect, answer: CallerResponse
+    parsed: Request, dialect: Dialect, response: CallerResponse
 ) -> None:
     """Reject a relayed request of an organisation unknown to this host."""
     logs.event('request_refused_unknown', request=parsed.facts.request_id)
-    await _reject(parsed, dialect, answer)
+    await _reject(parsed, dialect, response)
 
 
 async def _reject(
-    parsed: Request, dialect: Dialect, answer: CallerResponse
+    parsed: Request, dialect: Dialect, response: CallerResponse
 ) -> None:
     headers = dialect.gateway_headers(parsed.facts.request_id)
     headers += dialect.retry_headers(OTHER_HOST_RETRY_SECONDS)
     if parsed.is_relayed:
         headers += relay_header.outcome_header(relay_header.OUTCOME_NOT_RUN)
-    await answer.send(HTTPStatus.SERVICE_UNAVAILABLE, headers, b'')
+    await response.send(HTTPStatus.SERVICE_UNAVAILABLE, headers, b'')
--- a/jacinthfold/hashing.py
+++ b/jacinthfold/hashing.py
@@ -16,5 +16,5 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the hash under which the configuration holds a key."""
+    """Return the hash that the configuration stores for a caller's key."""
     return hashlib.sha256(key.encode()).hexdigest()
--- a/jacinthfold/options.py
+++ b/jacinthfold/options.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import Any
 
-SECRET_LENGTH = 16
+MIN_SECRET_LENGTH = 16
 PORT_LIMIT = 65535
 
 
@@ -35,7 +35,7 @@
 
 
 def _secret(value: str) -> str:
-    if len(value) < SECRET_LENGTH:
+    if len(value) < MIN_SECRET_LENGTH:
         raise ValueError
     return value
 
@@ -173,7 +173,7 @@
     'peers': {
         'secret': Option(
             _secret,
-            f'a text of at least {SECRET_LENGTH} characters',
+            f'a text of at least {MIN_SECRET_LENGTH} characters',
             'shared by all entry hosts of a deployment',
         ),
         'seeds': Option(
@@ -195,7 +195,7 @@
     'operators': {
         'key': Option(
             _secret,
-            f'a text of at least {SECRET_LENGTH} characters',
+            f'a text of at least {MIN_SECRET_LENGTH} characters',
             'key that operators present',
         ),
     },
--- a/jacinthfold/platform/dialect.py
+++ b/jacinthfold/platform/dialect.py
@@ -120,8 +120,8 @@
             for name, content in without_framing(request.headers)
             if name.lower() not in REPLACED_HEADERS
         ]
-        left_ms = max(1, int(remaining_seconds * _MS))
-        headers.append((REQUEST_DEADLINE, str(left_ms).encode()))
+        remaining_ms = max(1, int(remaining_seconds * _MS))
+        headers.append((REQUEST_DEADLINE, str(remaining_ms).encode()))
         if last_event_id:
             headers.append((LAST_EVENT_ID, last_event_id.encode()))
         if instance:
@@ -142,7 +142,7 @@
         ]
 
     def prefix_copy_headers(self, address: tuple[str, int]) -> Headers:
-        """Return headers that make a target copy cached prefixes of another."""
+        """Return headers that make a target copy prefixes from another."""
         host, port = address
         return [(KV_FETCH, f'{host}:{port}'.encode())]
 
--- a/jacinthfold/platform/documents.py
+++ b/jacinthfold/platform/documents.py
@@ -31,7 +31,7 @@
     RecursionError,
 )
 _MS = 1000
-_BITS = 8
+_BITS_PER_BYTE = 8
 _MEGA = 1_000_000
 
 
@@ -119,7 +119,7 @@
     service.slots = engine.get('slots') or 0
     service.kv_cache_tokens = engine.get('kv-tokens') or 0
     if engine.get('moves') and engine.get('link-mbps'):
-        bits = (engine.get('kv-bytes') or 0) * _BITS
+        bits = (engine.get('kv-bytes') or 0) * _BITS_PER_BYTE
         service.copy_seconds_per_token = bits / engine['link-mbps'] / _MEGA
     return service
 
--- a/jacinthfold/platform/program.py
+++ b/jacinthfold/platform/program.py
@@ -32,11 +32,11 @@
     settings: gateway_settings.GatewaySettings, path: Path
 ) -> None:
     clock = SystemClock()
-    caller = PooledHttpClient(clock)
+    http_client = PooledHttpClient(clock)
     adapter = Adapter(
-        PlatformStore(settings.store.address, caller),
+        PlatformStore(settings.store.address, http_client),
         PlatformReader(),
         PlatformDialect(),
         PlatformApi(),
     )
-    await GatewayNode(settings, path, adapter, caller, clock).run()
+    await GatewayNode(settings, path, adapter, http_client, clock).run()
--- a/jacinthfold/platform/store.py
+++ b/jacinthfold/platform/store.py
@@ -36,11 +36,11 @@
     """List, watch and write records of the metadata store."""
 
     def __init__(
-        self, address: tuple[str, int], caller: PooledHttpClient
+        self, address: tuple[str, int], http_client: PooledHttpClient
     ) -> None:
         """Set the store's IP address and port, and the HTTP client."""
         self._address = address
-        self._caller = caller
+        self._http_client = http_client
 
     async def list_all(self) -> tuple[list[Record], int]:
         """Return all records and a revision that is not newer than them."""
@@ -156,12 +156,12 @@
         self, method: str, target: str, body: bytes, timeout_seconds: float
     ) -> Any:
         try:
-            answer = await self._caller.call(
+            response = await self._http_client.call(
                 self._address, method, target, body, timeout_seconds
             )
         except ProxyError as error:
             raise MetadataError(f'{type(error).__name__}: {error}') from error
-        return _decode_response(answer, target)
+        return _decode_response(response, target)
 
 
 def _put(key: str, content: bytes, lease: int) -> dict[str, Any]:
@@ -169,18 +169,18 @@
     return {'key': key, 'value': encoded, 'lease': lease}
 
 
-def _decode_response(answer: CallResponse, target: str) -> Any:
+def _decode_response(response: CallResponse, target: str) -> Any:
     call = target.partition('?')[0]
-    if answer.status == HTTPStatus.GONE:
+    if response.status == HTTPStatus.GONE:
         raise MetadataHistoryLostError(call)
-    if answer.status == HTTPStatus.NOT_FOUND:
+    if response.status == HTTPStatus.NOT_FOUND:
         raise LeaseLostError(call)
-    if answer.status == HTTPStatus.PRECONDITION_FAILED:
+    if response.status == HTTPStatus.PRECONDITION_FAILED:
         raise MetadataConflictError(call)
-    if answer.status != HTTPStatus.OK:
-        raise MetadataError(f'{call}: status {answer.status}')
+    if response.status != HTTPStatus.OK:
+        raise MetadataError(f'{call}: status {response.status}')
     try:
-        return json.loads(answer.body) if answer.body else {}
+        return json.loads(response.body) if response.body else {}
     except ValueError as error:
         raise MetadataError(f'{call}: {error}') from error
 
--- a/jacinthfold/proxy/admission.py
+++ b/jacinthfold/proxy/admission.py
@@ -36,7 +36,7 @@
         self._metrics = metrics
 
     def start_progress(self, request: Request) -> Progress:
-        """Return the progress of a request that is rejected without its key."""
+        """Return the progress of a request, which rechecks its key."""
         progress = Progress(request)
         progress.rejection_reason = partial(self._rejection_reason, request)
         return progress
@@ -57,9 +57,9 @@
         if rejection is not None:
             self._record_key_rejection(request, progress, rejection)
             return True
-        # A request that crashes targets is retried under another identifier
-        # at any host. Checked before each send, because other hosts may have
-        # reported more crashes since the last attempt.
+        # Callers retry a request that crashes targets under another identifier
+        # and at any host. Checked before each send, because other hosts may
+        # have reported more crashes since the last attempt.
         refusal = self._quarantine.refusal(request)
         if refusal is None:
             return False
--- a/jacinthfold/proxy/attempts.py
+++ b/jacinthfold/proxy/attempts.py
@@ -93,8 +93,8 @@
         )
         headers = relay_header.without_internal(headers)
         if estimate.copy_source is not None:
-            place = estimate.copy_source.record.address
-            headers.extend(self._dialect.prefix_copy_headers(place))
+            source_address = estimate.copy_source.record.address
+            headers.extend(self._dialect.prefix_copy_headers(source_address))
         timeout = self._response_timeout(
             request, progress, lambda: target.last_received_at
         )
@@ -325,7 +325,7 @@
     def _record_hold_time(
         self, estimate: Estimate, streamed_seconds: float
     ) -> None:
-        law = self._regions.latency_models.of(estimate.target.record.service)
-        law.record_slot_hold(
-            streamed_seconds + law.prefill_seconds(estimate.token_cost)
+        model = self._regions.latency_models.of(estimate.target.record.service)
+        model.record_slot_hold(
+            streamed_seconds + model.prefill_seconds(estimate.token_cost)
         )
--- a/jacinthfold/proxy/key_gate.py
+++ b/jacinthfold/proxy/key_gate.py
@@ -53,7 +53,7 @@
 
     @property
     def may_deny(self) -> bool:
-        """Check whether the known keys are recent enough to deny others."""
+        """Check whether the known keys are recent enough to deny a key."""
         if self._bound_seconds is None:
             return True
         return self.age_seconds <= MAX_DENY_AGE_SECONDS
--- a/jacinthfold/proxy/listener.py
+++ b/jacinthfold/proxy/listener.py
@@ -251,7 +251,7 @@
             if isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             if not isinstance(event, h11.Data):
-                raise ConnectionLostError('caller left inside a body')
+                raise ConnectionLostError('caller disconnected within a body')
             body += event.data
             if len(body) > limit_bytes:
                 raise MalformedRequestError(413, 'body exceeds the limit')
@@ -262,7 +262,9 @@
             self._send_continue()
             content = await self._channel.read()
             if not content:
-                raise ConnectionLostError('caller left inside a request')
+                raise ConnectionLostError(
+                    'caller disconnected within a request'
+                )
             self._parser.receive_data(content)
             event = self._parse()
         return event
@@ -289,7 +291,9 @@
     sizes = [len(name) + len(content) for name, content in head.headers]
     size = sum(sizes) + len(head.target)
     if size > limit_bytes:
-        raise MalformedRequestError(431, f'a head of {size} bytes')
+        raise MalformedRequestError(
+            431, f'head of {size} bytes exceeds the limit'
+        )
 
 
 def _new_parser(limits: CallerLimits) -> h11.Connection:
--- a/jacinthfold/proxy/progress.py
+++ b/jacinthfold/proxy/progress.py
@@ -64,10 +64,10 @@
         """Check whether any target may have started to run the request."""
         return self.is_in_flight or self.runs > 0
 
-    def record_placement_rejection(self, refusal: Reject) -> None:
+    def record_placement_rejection(self, rejection: Reject) -> None:
         """Record that no target or region could be chosen."""
-        self.reason = self.reason or refusal.reason
-        self.after_seconds = refusal.after_seconds
+        self.reason = self.reason or rejection.reason
+        self.after_seconds = rejection.after_seconds
 
     def record_admission_rejection(
         self, reason: str, status: HTTPStatus, after_seconds: float
--- a/jacinthfold/proxy/relay_header.py
+++ b/jacinthfold/proxy/relay_header.py
@@ -9,7 +9,8 @@
 # targets.
 REQUEST_HEADER = b'jacinthfold-passed'
 OUTCOME_HEADER = b'jacinthfold-outcome'
-# Sent beside "not_run", the only one that hosts of the version before read.
+# Sent beside the outcome "not_run". Hosts of the previous version read only the
+# outcome.
 REASON_HEADER = b'jacinthfold-reason'
 INTERNAL_HEADERS = frozenset((REQUEST_HEADER, OUTCOME_HEADER, REASON_HEADER))
 
@@ -51,7 +52,7 @@
 ) -> Headers:
     """Return the header that carries a request's route to another host.
 
-    With has_permit the organisation's cap permitted one run of the request.
+    has_permit means that the organisation's cap permitted one run.
     """
     route = request.route
     # The receiver may have an older configuration, so it uses this one.
--- a/jacinthfold/proxy/request_log.py
+++ b/jacinthfold/proxy/request_log.py
@@ -36,13 +36,13 @@
         )
 
 
-def log_placement_rejection(request: Request, refusal: Reject) -> None:
+def log_placement_rejection(request: Request, rejection: Reject) -> None:
     """Log that nothing could be chosen, with the rejected estimates."""
-    here, elsewhere = refusal.local_estimate, refusal.remote_region
+    here, elsewhere = rejection.local_estimate, rejection.remote_region
     logs.event(
         'request_refused',
         request=request.facts.request_id,
-        reason=refusal.reason,
+        reason=rejection.reason,
         aim_seconds=request.route.latency_objective_seconds,
         prompt_tokens=request.facts.prompt_tokens,
         wait_seconds=here.wait_seconds if here else None,
--- a/tests/gateway/test_permit_order.py
+++ b/tests/gateway/test_permit_order.py
@@ -89,13 +89,13 @@
 
 
 def forwarder(scene, permits, attempts):
-    made, _ = catalogue(scene.clock)
+    records, _ = catalogue(scene.clock)
     capped = tenant('north', KEY, **{'rate-per-s': 1000, 'burst': 1000})
-    made.apply([record(document(capped), 1)], 1)
+    records.apply([record(document(capped), 1)], 1)
     quarantine = Quarantine(scene.targets, None, scene.clock)
     metrics = ProxyMetrics()
-    admission = Admission(KeyGate(made, None), quarantine, permits, metrics)
-    return made, Forwarder(
+    admission = Admission(KeyGate(records, None), quarantine, permits, metrics)
+    return records, Forwarder(
         scene.placer,
         attempts,
         RetryBudgets(0.2, 1000, 10, scene.clock),
@@ -109,15 +109,15 @@
 
 def serve_together(count, scene, permits, attempts, **fields):
     """Serve requests that arrive at once; return their responses."""
-    made, serving = forwarder(scene, permits, attempts)
-    attempts.catalogue = made
+    records, serving = forwarder(scene, permits, attempts)
+    attempts.catalogue = records
 
     async def serve():
         answers = [Answer() for _ in range(count)]
         requests = [scene.request(**fields) for _ in answers]
         for request in requests:
             request.facts.key_digest = digest_of(KEY.encode())
-            request.organisation = made.routes.organisations.find_by_name(
+            request.organisation = records.routes.organisations.find_by_name(
                 'north'
             )
         await asyncio.gather(
--- a/tests/gateway/test_translation.py
+++ b/tests/gateway/test_translation.py
@@ -205,7 +205,7 @@
 
 
 def test_headers_about_the_connection_are_not_passed_on():
-    kept = without_framing(
+    forwarded = without_framing(
         [
             (b'Connection', b'close, X-Mine'),
             (b'X-Mine', b'1'),
@@ -213,7 +213,7 @@
             (b'X-Other', b'2'),
         ]
     )
-    assert kept == [(b'X-Other', b'2')]
+    assert forwarded == [(b'X-Other', b'2')]
 
 
 @given(st.integers(1, 40), st.lists(st.integers(1, 30), max_size=40))
@@ -360,7 +360,7 @@
 
 
 @pytest.mark.parametrize(
-    ('contents', 'rest_seconds', 'is_unreadable'),
+    ('contents', 'expected_seconds', 'is_unreadable'),
     [
         ([b'3'], 3.0, False),
         ([b'0.25'], 0.25, False),
@@ -377,9 +377,9 @@
         ([], None, False),
     ],
 )
-def test_backoff_is_a_bounded_number(contents, rest_seconds, is_unreadable):
+def test_backoff_is_a_bounded_number(contents, expected_seconds, is_unreadable):
     headers = [(b'Retry-After', content) for content in contents]
     facts = PlatformDialect().read_response(503, headers)
-    assert facts.backoff_seconds == rest_seconds
+    assert facts.backoff_seconds == expected_seconds
     assert bool(facts.invalid_headers) is is_unreadable
     assert PlatformDialect().read_response(429, headers).backoff_seconds is None
