--- a/jacinthfold/quarantine/crash_detector.py
+++ b/jacinthfold/quarantine/crash_detector.py
@@ -94,7 +94,8 @@
     ) -> None:
         """Record the end of an attempt and the time of its first event.
 
-        The time is 0 without an event; broken means by the other side.
+        The time is 0 without an event. An attempt is broken if the target
+        closed the connection.
         """
         attempt.first_event_at = first_event_at or None
         target = attempt.target
@@ -256,7 +257,8 @@
             )
             for attempt in attempts
         ]
-        # Likeliest culprit first: what it explains does not refuse the others.
+        # Likeliest culprit first: the crashes that it explains then don't get
+        # the others refused.
         present.sort(key=_likeliest_first)
         crash = TargetCrash(target, cause, present)
         logs.warning(
--- a/jacinthfold/quarantine/crashes.py
+++ b/jacinthfold/quarantine/crashes.py
@@ -3,7 +3,7 @@
 import msgspec
 
 # Weight of a crash during which the request was running, and of one during
-# which it may still have been queued: twice as many of the latter are needed.
+# which it may still have been queued: a refusal takes twice as many of these.
 RUNNING_WEIGHT, QUEUED_WEIGHT = 2, 1
 # Entries without a new crash are dropped after this. Served requests and those
 # with one crash, nearly all of which were only bystanders, are dropped sooner:
@@ -52,7 +52,7 @@
         # Whether this host itself observed one of the crashes.
         self.is_observed_here = False
         # By the clock of this host: the last crash, the last change, and the
-        # last change that this host has to report within its own region.
+        # last change that this host has to report within its region.
         self.last_crash_at = now
         self.changed_at = now
         self.region_changed_at = float('-inf')
@@ -79,7 +79,7 @@
         )
 
     def report_changed_at(self, *, is_near: bool) -> float:
-        """Return the last change to report to the own or to other regions."""
+        """Return the last change to report to this region or to others."""
         return self.region_changed_at if is_near else self.changed_at
 
     def to_report(self, fingerprint: str) -> SuspectReport:
--- a/jacinthfold/quarantine/quarantine.py
+++ b/jacinthfold/quarantine/quarantine.py
@@ -110,8 +110,8 @@
         self.suspects.record_crash(present_request.fingerprint, crash)
 
     def _store_observed(self, fingerprint: str, suspect: Suspect) -> None:
-        # Only hosts that observed a crash write it: a few of 195, instead of
-        # all that received a report.
+        # Only hosts that observed a crash write it: a few of 195 hosts instead
+        # of all that received a report.
         if (
             suspect.is_observed_here
             and len(suspect.crashes) >= MIN_STORED_CRASHES
--- a/jacinthfold/quarantine/suspects.py
+++ b/jacinthfold/quarantine/suspects.py
@@ -33,8 +33,8 @@
 MAX_SUSPECTS = 4096
 # Crashes kept per request: far more than it takes to refuse it.
 MAX_CRASHES_PER_SUSPECT = 32
-# How long a change is reported: in ten heartbeats to the own region and in at
-# least three to others.
+# How long a change is reported: in ten heartbeats within the region and in at
+# least three to other regions.
 REPORT_PERIOD_SECONDS = 2.0
 # Per heartbeat or digest: 64 entries of two crashes take some 3 kB encoded.
 MAX_CHANGED_REPORTS = 64
@@ -56,7 +56,7 @@
         self._clock = clock
         self._report_period_seconds = report_period_seconds
         self._suspects: dict[str, Suspect] = {}
-        # Suspects with enough weight to be refused, unless others explain it.
+        # Enough weight to be refused, unless others explain their crashes.
         self._over_threshold: set[str] = set()
         self._expired_at = clock.monotonic()
         self.on_refused: Callable[[str], None] = _ignore_refusal
@@ -129,8 +129,8 @@
     ) -> list[SuspectReport]:
         """Return the recent changes, and if full some refused requests.
 
-        Within the own region only hosts that observed a change, or received it
-        from elsewhere, report it.
+        Within its region, a host reports only changes that it observed itself
+        or received from another region or the store.
         """
         since = self._clock.monotonic() - self._report_period_seconds
         changed = {
--- a/jacinthfold/quota/bounds.py
+++ b/jacinthfold/quota/bounds.py
@@ -2,18 +2,18 @@
 
 from jacinthfold.organisations.model import Cap
 
-# From the grant of a permit until its request has reached a target. Unused
-# permits expire after this.
+# Longest time from the grant of a permit until its request has reached a
+# target. Unused permits expire after this.
 PERMIT_LIFETIME_SECONDS = 0.5
 # How long a leased share may be spent unless it is renewed. Together with the
 # issuer's own lease this bridges a store outage of some seconds. A new issuer
-# waits this long until it knows all holders.
+# waits this long, and knows all holders by then.
 SHARE_LEASE_SECONDS = 1.5
 # Shares leased before an issuer knows all holders expire this long after it
 # does: by then each holder has sent another request.
 RECOVERY_MARGIN_SECONDS = 0.3
-# Issuers per cap, on different hosts, each of which leases one half. A cap is
-# mostly twice the usual demand, so the loss of one issuer has little effect.
+# Issuers per cap, on different hosts, each of which leases one half. Most caps
+# are twice the usual demand, so the loss of one issuer has little effect.
 HALVES = 2
 # The rest is reserved for clock drift and requests that arrive late.
 SAFETY_FACTOR = 0.96
--- a/jacinthfold/quota/demand.py
+++ b/jacinthfold/quota/demand.py
@@ -2,8 +2,8 @@
 
 import math
 
-# Time constant of the average: it follows a peak that builds up over two
-# seconds within half a second.
+# Time constant of the average. When a peak builds up over two seconds, the
+# average follows within half a second.
 AVERAGING_SECONDS = 1.0
 # Time constant of the largest recent cost: for about this long the share stays
 # large enough for another request of that size.
--- a/jacinthfold/quota/issuer.py
+++ b/jacinthfold/quota/issuer.py
@@ -58,7 +58,7 @@
         '_recovery_share',
         '_holders',
         '_recovered_at',
-        '_lent_in_recovery',
+        '_leased_in_recovery',
     )
 
     def __init__(self, now: float, recovery_share: float) -> None:
@@ -67,7 +67,7 @@
         # All shares leased by a predecessor have expired by then.
         self._recovered_at = now + SHARE_LEASE_SECONDS
         self._recovery_share = recovery_share
-        self._lent_in_recovery = 0.0
+        self._leased_in_recovery = 0.0
 
     def total_outstanding(self, now: float) -> float:
         """Return the sum of shares that the known holders may still spend."""
@@ -115,9 +115,11 @@
         if now < self._recovered_at:
             # Other pools may hold shares that they have not reported yet:
             # extend only by the recovery share, which the buckets leave free.
-            available = max(0.0, self._recovery_share - self._lent_in_recovery)
+            available = max(
+                0.0, self._recovery_share - self._leased_in_recovery
+            )
             granted = min(available, max(0.0, holder.wanted - held))
-            self._lent_in_recovery += granted
+            self._leased_in_recovery += granted
             return held + granted
         others = self.total_outstanding(now) - holder.outstanding(now)
         return max(0.0, _FULL_SHARE - others)
--- a/jacinthfold/quota/issuers.py
+++ b/jacinthfold/quota/issuers.py
@@ -1,7 +1,7 @@
 """Decide which host leases the shares of which organisations.
 
-Organisations are hashed into shards, and one host issues each shard. Two
-issuers of one shard would lease the same shares twice, so a record in the
+Organisations are hashed into shards, and one host is the issuer of each shard.
+Two issuers of one shard would lease the same shares twice, so a record in the
 store, bound to a lease, names the issuer. By its own clock an issuer stops
 before its lease can expire in the store, and its successor waits until all
 shares leased before have expired.
@@ -157,7 +157,7 @@
         return sorted(self._issuers)
 
     async def run(self) -> None:
-        """Renew the own lease and claim shards without an issuer."""
+        """Renew this host's lease and claim shards without an issuer."""
         while not self._is_leaving:
             await asyncio.sleep(TICK_SECONDS)
             try:
--- a/jacinthfold/quota/messages.py
+++ b/jacinthfold/quota/messages.py
@@ -14,7 +14,7 @@
 
 
 class PermitResponse(msgspec.Struct, array_like=True):
-    """Response of a pool: granted if there is no time to retry after."""
+    """Response of a pool: granted if retry_after_ms is None."""
 
     number: int
     retry_after_ms: int | None
@@ -23,7 +23,7 @@
 
 
 class ShareRequest(msgspec.Struct, array_like=True):
-    """Request to an issuer for a share, with the share held until then."""
+    """Request to an issuer for a share, with the share held so far."""
 
     organisation: str
     half: int
--- a/jacinthfold/quota/outbox.py
+++ b/jacinthfold/quota/outbox.py
@@ -16,7 +16,7 @@
 
     __slots__ = (
         '_counts',
-        '_is_due',
+        '_is_flush_scheduled',
         '_incarnation',
         '_name',
         '_pending',
@@ -29,7 +29,7 @@
         self._incarnation = own.incarnation
         self._pending: dict[Endpoint, QuotaDatagram] = {}
         self._counts: dict[Endpoint, int] = {}
-        self._is_due = False
+        self._is_flush_scheduled = False
         self.send: Callable[[bytes, Endpoint], None] = _drop
 
     def put(self, endpoint: Endpoint, message: Message) -> None:
@@ -44,12 +44,12 @@
         if self._counts[endpoint] >= MAX_DATAGRAM_MESSAGES:
             self._pending.pop(endpoint)
             self.send(encode(datagram), endpoint)
-        elif not self._is_due:
-            self._is_due = True
+        elif not self._is_flush_scheduled:
+            self._is_flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
-        self._is_due = False
+        self._is_flush_scheduled = False
         batch = self._pending
         self._pending = {}
         for endpoint, datagram in batch.items():
--- a/jacinthfold/quota/permits.py
+++ b/jacinthfold/quota/permits.py
@@ -52,7 +52,7 @@
 
 
 class PermitClient:
-    """Client of the pools in the own region."""
+    """Client of the pools in this host's region."""
 
     def __init__(
         self, hosts: HostTable, pools: Pools, outbox: Outbox, clock: Clock
--- a/jacinthfold/quota/pool.py
+++ b/jacinthfold/quota/pool.py
@@ -60,7 +60,7 @@
 
 
 class OrganisationPool:
-    """ConnectionPool of tokens for one organisation in one region."""
+    """Tokens of one organisation in one region."""
 
     __slots__ = ('_bucket', '_waiting', 'demand', 'cap_rate', 'shares')
 
--- a/jacinthfold/quota/pools.py
+++ b/jacinthfold/quota/pools.py
@@ -18,7 +18,7 @@
 # How often active and idle pools request their shares again.
 RENEW_SECONDS = 0.25
 IDLE_RENEW_SECONDS = 0.8
-# Retry delay without any share: the round trip to an issuer elsewhere.
+# Retry delay without any share: the round trip to an issuer in another region.
 SHARE_RETRY_SECONDS = 0.13
 IDLE_AFTER_SECONDS = 1.5
 # A pool without requests for this long is dropped; its share just expires.
--- a/jacinthfold/quota/share.py
+++ b/jacinthfold/quota/share.py
@@ -17,7 +17,7 @@
     )
 
     def __init__(self, first_number: int = 0) -> None:
-        """Start without a share; requests are numbered from a number on."""
+        """Start without a share; number requests from first_number + 1."""
         self._held = 0.0
         self._expires_at = float('-inf')
         self._request_number = first_number
--- a/jacinthfold/quota/token_bucket.py
+++ b/jacinthfold/quota/token_bucket.py
@@ -40,7 +40,7 @@
         self.tokens = min(self.burst, self.tokens + cost)
 
     def seconds_until(self, cost: float, now: float) -> float:
-        """Return the time until the tokens are available; infinite if never."""
+        """Return the seconds until tokens are available, infinity if never."""
         self.refill(now)
         missing = cost - self.tokens
         if missing <= 0:
--- a/tests/gateway/test_quarantine.py
+++ b/tests/gateway/test_quarantine.py
@@ -16,7 +16,7 @@
 # most this many times more.
 PROPAGATION_SECONDS = 5.0
 MAX_MORE_SENDS = 3
-# Number of retries by callers; more would find the same.
+# Number of retries by callers; more would give the same result.
 REPEATS = 9
 
 
@@ -73,10 +73,11 @@
 
     A caller retried one request of 731 tokens through hosts of two regions and
     crashed nine engines within sixteen seconds. Hosts knew requests only by
-    their ids, which change with each retry, and none of five hosts saw more
-    than three of the crashes. Other callers lost up to 29 requests at a time.
-    The proof was an engine that had started 30 ms before and ran nothing else:
-    it crashed 0.18 s after the request was placed.
+    their ids, which change with each retry, and blamed each crash on the target
+    alone; none of five hosts saw more than three of the crashes. Other callers
+    lost up to 29 requests at a time. The cause showed at an engine that had
+    started 30 ms before and ran nothing else: it crashed 0.18 s after the
+    request was placed, which the host logged as a closed connection.
     """
     send_until_crashed(engines, 3, path)
     pause(PROPAGATION_SECONDS)
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -33,7 +33,7 @@
     )
 
 
-def allowed(per_second, burst, window=WINDOW):
+def window_limit(per_second, burst, window=WINDOW):
     """Return the limit of a window."""
     regular_limit = per_second * window.seconds + burst
     return regular_limit * (1 + window.excess) + window.slack
@@ -44,7 +44,7 @@
 
 
 class SimulatedPool:
-    """ConnectionPool of a simulated region, whose process may restart."""
+    """Pool of a simulated region, whose process may restart."""
 
     def __init__(self, name, cap_rate, now):
         self.name = name
@@ -155,9 +155,10 @@
 def test_no_window_exceeds_its_limit(seed, per_second):
     """Three regions request far more than the cap for half a minute.
 
-    Messages are delayed, lost and repeated, regions lose contact to the issuer,
-    pools restart empty, and the issuer is replaced by one without state. Shares
-    leased twice would show as a window above cap, excess and slack.
+    Messages are delayed, lost and repeated, regions lose contact with the
+    issuer, pools restart empty, and the issuer is replaced by one without
+    state. Shares leased twice would show as a window above cap, excess and
+    slack.
     """
     simulation = Simulation(seed, per_second)
     for tick in range(700):
@@ -180,7 +181,7 @@
     span = WINDOW.seconds + PERMIT_LIFETIME_SECONDS
     for start, _ in granted:
         inside = sum(cost for at, cost in granted if start <= at < start + span)
-        assert inside <= allowed(per_second, per_second)
+        assert inside <= window_limit(per_second, per_second)
 
 
 @pytest.mark.parametrize('seed', range(20))
@@ -314,17 +315,20 @@
 def test_pool_created_again_gets_shares():
     """An idle organisation's pool is dropped and created again.
 
-    The same process creates it again. If its requests repeated the numbers of
-    the previous pool, the issuer would ignore them as outdated, and the
-    organisation would be rejected forever.
+    The same process creates it again. The issuer, which no other pool uses,
+    still knows the last request number. If the new pool repeated the numbers
+    of the previous one, the issuer would ignore its requests as outdated, and
+    the organisation would be rejected forever.
     """
     issuer = Issuer(0.0, 0.0)
     cap_rate = CapRate(cap(36000), WINDOW)
     for now in (100.0, 130.0):
         pool = OrganisationPool(cap_rate, now)
-        for asked_at in (now, now + 0.3, now + 0.6):
-            number = pool.shares[0].start_request(asked_at)
-            lease = issuer.grant('a', 1, number, held=0, wanted=1, now=asked_at)
+        for requested_at in (now, now + 0.3, now + 0.6):
+            number = pool.shares[0].start_request(requested_at)
+            lease = issuer.grant(
+                'a', 1, number, held=0, wanted=1, now=requested_at
+            )
             assert lease is not None
             assert lease.share > 0
 
@@ -355,7 +359,7 @@
     extra = cap_rate.recovery_share * cap_rate.per_second * seconds
     most = cap_rate.per_second * span + cap_rate.burst + extra
     assert 0 < cap_rate.per_second <= per_second
-    assert most <= allowed(per_second, burst, window)
+    assert most <= window_limit(per_second, burst, window)
 
 
 def pool_with_shares(share=0.9, per_second=36000):
@@ -435,7 +439,7 @@
 
 
 def test_half_a_cap_is_available_while_one_issuer_is_gone():
-    """One of two issuers is unreachable for long.
+    """One of two issuers is unreachable for a long time.
 
     A pool requests all that its demand needs from the other one. Half of the
     cap covers nearly all of the usual demand.
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -96,7 +96,7 @@
 
 @given(st.data())
 def test_reports_merge_in_any_order_and_repeated(data):
-    """Reports of three crashes, each seen by one host, repeat and reorder."""
+    """Three hosts saw one crash each; reports are repeated and reordered."""
     clock = FakeClock()
     hosts = [HostSuspects(clock) for _ in range(3)]
     for number, host in enumerate(hosts):
@@ -279,7 +279,7 @@
 
 @pytest.mark.parametrize(('count', 'lost'), [(8, 0.03), (65, 0.03), (90, 0.1)])
 def test_all_hosts_of_a_region_learn_of_crashes_seen_by_three(count, lost):
-    """Three hosts observe one crash each; datagrams get lost, no store.
+    """Three hosts observe a crash each; datagrams are lost, the store is down.
 
     A host without the reports would still send the request. All hosts refuse it
     within the two seconds of reporting, with and without collectors.
