--- a/jacinthfold/quarantine/crash_detector.py
+++ b/jacinthfold/quarantine/crash_detector.py
@@ -41,7 +41,7 @@
 # Multiple of a cold target's permitted rate that may crash it by overload.
 OVERRUN_FACTOR = 1.5
 SEND_WINDOW_SECONDS = 1.0
-MAX_LINES_PER_CRASH = 16
+MAX_LOG_LINES_PER_CRASH = 16
 
 
 class CrashDetector:
@@ -270,7 +270,7 @@
             present=len(present),
             begun=sum(one.is_started for one in present),
         )
-        for one in present[:MAX_LINES_PER_CRASH]:
+        for one in present[:MAX_LOG_LINES_PER_CRASH]:
             logs.warning(
                 'request_at_end',
                 request=one.request_id,
--- a/jacinthfold/quarantine/suspects.py
+++ b/jacinthfold/quarantine/suspects.py
@@ -85,9 +85,9 @@
     def refused(self) -> dict[str, int]:
         """Return the refused fingerprints with their number of crashes."""
         return {
-            name: len(self._suspects[name].crashes)
-            for name in sorted(self._over_threshold)
-            if self.refused_seconds(name) is not None
+            fingerprint: len(self._suspects[fingerprint].crashes)
+            for fingerprint in sorted(self._over_threshold)
+            if self.refused_seconds(fingerprint) is not None
         }
 
     def record_crash(self, fingerprint: str, crash: Crash) -> None:
@@ -134,8 +134,8 @@
         """
         since = self._clock.monotonic() - self._report_period_seconds
         changed = {
-            name
-            for name, one in self._suspects.items()
+            fingerprint
+            for fingerprint, one in self._suspects.items()
             if one.report_changed_at(is_near=is_near) > since
         }
         chosen = sorted(changed, key=self._rank, reverse=True)[
@@ -144,7 +144,10 @@
         if is_full:
             repeated = sorted(self._over_threshold - changed, key=self._rank)
             chosen.extend(repeated[-MAX_REPEATED_REPORTS:])
-        return [self._suspects[name].to_report(name) for name in chosen]
+        return [
+            self._suspects[fingerprint].to_report(fingerprint)
+            for fingerprint in chosen
+        ]
 
     def expire_if_due(self) -> None:
         """Drop old entries if the last check is long enough ago."""
@@ -154,21 +157,21 @@
     def _expire(self) -> None:
         now = self._clock.monotonic()
         self._expired_at = now
-        for name, suspect in list(self._suspects.items()):
+        for fingerprint, suspect in list(self._suspects.items()):
             if now - suspect.last_crash_at > suspect.retention_seconds:
-                self._drop(name)
+                self._drop(fingerprint)
         excess = len(self._suspects) - MAX_SUSPECTS
         if excess > 0:
-            for name in sorted(self._suspects, key=self._rank)[:excess]:
-                self._drop(name)
+            for fingerprint in sorted(self._suspects, key=self._rank)[:excess]:
+                self._drop(fingerprint)
 
-    def _rank(self, name: str) -> tuple[int, int, float]:
-        suspect = self._suspects[name]
+    def _rank(self, fingerprint: str) -> tuple[int, int, float]:
+        suspect = self._suspects[fingerprint]
         return suspect.weight, suspect.no_output_count, suspect.changed_at
 
-    def _drop(self, name: str) -> None:
-        self._suspects.pop(name)
-        self._over_threshold.discard(name)
+    def _drop(self, fingerprint: str) -> None:
+        self._suspects.pop(fingerprint)
+        self._over_threshold.discard(fingerprint)
 
     def _find_or_create(self, fingerprint: str) -> Suspect:
         suspect = self._suspects.get(fingerprint)
@@ -265,10 +268,10 @@
         # that more often had no output yet.
         explained = {
             incarnation_id
-            for name in self._over_threshold
-            if name != fingerprint
-            and self._suspects[name].no_output_count > suspect.no_output_count
-            for incarnation_id in self._suspects[name].crashes
+            for other in self._over_threshold
+            if other != fingerprint
+            and self._suspects[other].no_output_count > suspect.no_output_count
+            for incarnation_id in self._suspects[other].crashes
         }
         weight = sum(
             crash.weight
--- a/jacinthfold/quota/pool.py
+++ b/jacinthfold/quota/pool.py
@@ -168,8 +168,10 @@
             return CapRejection(NO_SHARE_RETRY_SECONDS, is_over_cap=False)
         if seconds == float('inf'):
             seconds = DEFAULT_RETRY_SECONDS
-        after = min(MAX_RETRY_SECONDS, max(seconds, MAX_WAIT_SECONDS))
-        return CapRejection(after, is_over_cap=True)
+        retry_after_seconds = min(
+            MAX_RETRY_SECONDS, max(seconds, MAX_WAIT_SECONDS)
+        )
+        return CapRejection(retry_after_seconds, is_over_cap=True)
 
 
 def _expiry(share: Share) -> float:
