--- a/jacinthfold/quarantine/crash_detector.py
+++ b/jacinthfold/quarantine/crash_detector.py
@@ -41,7 +41,7 @@
 # Multiple of a cold target's permitted rate that may crash it by overload.
 OVERRUN_FACTOR = 1.5
 SEND_WINDOW_SECONDS = 1.0
-MAX_LINES_PER_CRASH = 16
+MAX_LOG_LINES_PER_CRASH = 16
 
 
 class CrashDetector:
@@ -94,7 +94,8 @@
     ) -> None:
         """Record the end of an attempt and the time of its first event.
 
-        The time is 0 without an event; broken means by the other side.
+        The time is 0 without an event. An attempt is broken if the target
+        closed the connection.
         """
         attempt.first_event_at = first_event_at or None
         target = attempt.target
@@ -256,7 +257,8 @@
             )
             for attempt in attempts
         ]
-        # Likeliest culprit first: what it explains does not refuse the others.
+        # Likeliest culprit first: the crashes that it explains then don't get
+        # the others refused.
         present.sort(key=_likeliest_first)
         crash = TargetCrash(target, cause, present)
         logs.warning(
@@ -268,7 +270,7 @@
             present=len(present),
             begun=sum(one.is_started for one in present),
         )
-        for one in present[:MAX_LINES_PER_CRASH]:
+        for one in present[:MAX_LOG_LINES_PER_CRASH]:
             logs.warning(
                 'request_at_end',
                 request=one.request_id,
--- a/jacinthfold/quota/pool.py
+++ b/jacinthfold/quota/pool.py
@@ -60,7 +60,7 @@
 
 
 class OrganisationPool:
-    """ConnectionPool of tokens for one organisation in one region."""
+    """Tokens of one organisation in one region."""
 
     __slots__ = ('_bucket', '_waiting', 'demand', 'cap_rate', 'shares')
 
@@ -168,8 +168,10 @@
             return CapRejection(NO_SHARE_RETRY_SECONDS, is_over_cap=False)
         if seconds == float('inf'):
             seconds = DEFAULT_RETRY_SECONDS
-        after = min(MAX_RETRY_SECONDS, max(seconds, MAX_WAIT_SECONDS))
-        return CapRejection(after, is_over_cap=True)
+        retry_after_seconds = min(
+            MAX_RETRY_SECONDS, max(seconds, MAX_WAIT_SECONDS)
+        )
+        return CapRejection(retry_after_seconds, is_over_cap=True)
 
 
 def _expiry(share: Share) -> float:
