--- a/jacinthfold/catalogue/freshness.py
+++ b/jacinthfold/catalogue/freshness.py
@@ -22,7 +22,7 @@
     __slots__ = ('as_of', 'revision')
 
     def __init__(self, as_of: float, revision: int) -> None:
-        """Initialize a proof at a boot time in seconds."""
+        """Initialize a proof at a time of the boot-time clock in seconds."""
         self.as_of = as_of
         self.revision = revision
 
--- a/jacinthfold/catalogue/freshness_checker.py
+++ b/jacinthfold/catalogue/freshness_checker.py
@@ -15,8 +15,8 @@
 FAILED_CHECK_DELAY_SECONDS = (0.8, 1.4)
 # Watches of a busy store renew the proof more often than this.
 MAX_WATCHER_PROOF_AGE_SECONDS = 1.0
-# A proof of a neighbour arrives within two heartbeats; if the own one is older,
-# no host nearby has a newer one.
+# A proof of a neighbour arrives within two heartbeats; if this host's proof is
+# older, no host nearby has a newer one.
 MAX_OTHER_PROOF_AGE_SECONDS = 2.0
 # A watch delivers a change within this time, unless its connection is dead or
 # the store dropped the history it waits for.
--- a/jacinthfold/catalogue/records.py
+++ b/jacinthfold/catalogue/records.py
@@ -79,7 +79,10 @@
         """Handle a record of requests during which targets crashed."""
 
     def on_issuer(self, name: str, record: Record) -> None:
-        """Handle the record of the host that issues shares of caps."""
+        """Handle the record of the host that issues shares of caps.
+
+        Without content there is no such host.
+        """
 
 
 class Catalogue:
--- a/jacinthfold/fleet/aggregation.py
+++ b/jacinthfold/fleet/aggregation.py
@@ -1,4 +1,4 @@
-"""Aggregate the heartbeats of the own data centre into digests."""
+"""Aggregate the heartbeats of this host's data centre into digests."""
 
 from collections.abc import Iterable, Mapping
 
@@ -27,8 +27,8 @@
         'first_heard_at',
         'heard_at',
         'heartbeat',
-        'laws',
-        'laws_at',
+        'latency_sums',
+        'latency_sums_at',
         'prefilled_tokens',
     )
 
@@ -36,16 +36,16 @@
         self.first_heard_at = now
         self.heard_at = now
         self.heartbeat = heartbeat
-        self.laws: Mapping[str, list[float]] = {}
-        self.laws_at = now
+        self.latency_sums: Mapping[str, list[float]] = {}
+        self.latency_sums_at = now
         self.prefilled_tokens: dict[str, float] = {}
 
     def update(self, heartbeat: Heartbeat, now: float) -> None:
         self.heard_at = now
         self.heartbeat = heartbeat
         if heartbeat.laws:
-            self.laws = heartbeat.laws
-            self.laws_at = now
+            self.latency_sums = heartbeat.laws
+            self.latency_sums_at = now
 
 
 class HeartbeatAggregator:
@@ -62,7 +62,7 @@
         self._count = 0
 
     def add(self, heartbeat: Heartbeat, now: float) -> None:
-        """Add a heartbeat of a host of the own data centre."""
+        """Add a heartbeat of a host of this data centre."""
         name = heartbeat.host.name
         member = self._members.get(name)
         if member is None or _is_older(member, heartbeat):
@@ -162,8 +162,8 @@
     def _latency_models(self, now: float) -> dict[str, list[float]]:
         sums: dict[str, list[float]] = {}
         for member in self._members.values():
-            if now - member.laws_at < PEER_SUMS_LIFETIME_SECONDS:
-                for service, reported in member.laws.items():
+            if now - member.latency_sums_at < PEER_SUMS_LIFETIME_SECONDS:
+                for service, reported in member.latency_sums.items():
                     sums[service] = _add_sums(sums.get(service), reported)
         return sums
 
--- a/jacinthfold/fleet/collectors.py
+++ b/jacinthfold/fleet/collectors.py
@@ -14,8 +14,9 @@
 MIN_HOSTS_FOR_COLLECTORS = 12
 # The second one takes over while the first is down.
 COLLECTORS_PER_DATA_CENTRE = 2
-# Longer than one lost heartbeat and one lost digest, shorter than the time
-# after which silent hosts count as dead.
+# A host that is silent for this long is no longer selected. Longer than one
+# lost heartbeat and one lost digest, shorter than the time after which silent
+# hosts count as dead.
 COLLECTOR_SILENCE_SECONDS = 1.5
 
 
--- a/jacinthfold/fleet/digest_exchange.py
+++ b/jacinthfold/fleet/digest_exchange.py
@@ -27,7 +27,7 @@
 
 
 class DigestExchange:
-    """Send the own digests and apply and forward received ones."""
+    """Send this host's digests; apply and forward received ones."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
         return self._random.sample(entries, count)
 
     def _forward(self, digest: Digest, content: bytes) -> None:
-        """Forward another data centre's digest to the own collectors."""
+        """Forward another data centre's digest to this one's collectors."""
         # Only digests that come directly from their collector: hosts that
         # disagree on the collectors would forward them in a loop.
         own = self._hosts.own
--- a/jacinthfold/fleet/digest_message.py
+++ b/jacinthfold/fleet/digest_message.py
@@ -47,7 +47,7 @@
     rank: int
     # Sequence number since the collector started.
     count: int
-    # Age when it is forwarded.
+    # Time since it was made, set when it is forwarded.
     age_ms: int
     hosts: list[HostSummary]
     # Endpoints: those of new hosts in each digest, all of them periodically.
--- a/jacinthfold/fleet/digests.py
+++ b/jacinthfold/fleet/digests.py
@@ -1,4 +1,4 @@
-"""Apply the digests of the own region's data centres."""
+"""Apply the digests of the data centres of this host's region."""
 
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
@@ -22,16 +22,15 @@
 # A collector that covers a tenth fewer hosts than another one is cut off from
 # some of them.
 MIN_COVERAGE_RATIO = 0.9
-# Two seconds of own heartbeats.
+# Two seconds of this host's heartbeats.
 MAX_REMEMBERED_HEARTBEATS = 10
 
 
 class OwnLoads:
-    """Remember the loads that the latest own heartbeats reported."""
+    """Remember the loads that this host's latest heartbeats reported."""
 
     # The sums of a digest include the loads that this host reported some
-    # heartbeats ago. They are subtracted, or the own requests would count
-    # twice.
+    # heartbeats ago. They are subtracted, or its requests would count twice.
 
     __slots__ = ('_sent',)
 
@@ -42,7 +41,7 @@
         )
 
     def record(self, count: int, loads: Mapping[str, LoadFigures]) -> None:
-        """Record the loads of an own heartbeat by its number."""
+        """Record the loads of this host's heartbeat with a number."""
         self._sent.append((count, loads))
 
     def at(self, count: int) -> Mapping[str, LoadFigures]:
@@ -50,8 +49,8 @@
         return dict(self._sent).get(count, {})
 
 
-class _CurrentDigest:
-    """Hold the digest that is in use for a data centre."""
+class _ReceivedDigest:
+    """Hold a digest and the times at which it was made and received."""
 
     __slots__ = ('included', 'digest', 'made_at', 'received_at')
 
@@ -76,7 +75,7 @@
         self._hosts = hosts
         self._targets = targets
         self._clock = clock
-        self._current: dict[str, _CurrentDigest] = {}
+        self._current: dict[str, _ReceivedDigest] = {}
         self.own_loads = OwnLoads()
         self.on_suspects: Callable[[list[SuspectReport]], None] = (
             _ignore_suspects
@@ -89,7 +88,7 @@
         # Reports of suspects add up, whichever collector sent them.
         self.on_suspects(digest.suspects)
         now = self._clock.monotonic()
-        candidate = _CurrentDigest(digest, now)
+        candidate = _ReceivedDigest(digest, now)
         limit_reports.apply_reports(
             self._targets, digest.collector, digest.limits, candidate.made_at
         )
@@ -112,7 +111,7 @@
         )
 
     def includes_own(self) -> bool:
-        """Return whether the own data centre's digest includes this host."""
+        """Return whether its data centre's digest includes this host."""
         own = self._hosts.own
         current = self._current.get(own.data_centre)
         if current is None or own.name not in current.included:
@@ -134,7 +133,7 @@
                 found.append(current.digest)
         return found
 
-    def _update_hosts(self, current: _CurrentDigest) -> None:
+    def _update_hosts(self, current: _ReceivedDigest) -> None:
         for document in current.digest.places:
             self._hosts.add_record(host_from_document(document))
         for summary in current.digest.hosts:
@@ -143,7 +142,7 @@
                 summary.name, summary.incarnation, _status(summary), heard_at
             )
 
-    def _update_loads(self, current: _CurrentDigest) -> None:
+    def _update_loads(self, current: _ReceivedDigest) -> None:
         digest, targets = current.digest, self._targets
         own = self._own_loads_in(digest.hosts)
         loads = {
@@ -152,8 +151,8 @@
         }
         reporter = f'sum of {digest.data_centre}'
         targets.update_loads(reporter, loads, current.made_at)
-        # The own prefills and answers are in both sums and count twice, which
-        # is acceptable because they are a small share.
+        # This host's prefills and responses are in both sums and count twice,
+        # which is acceptable because they are a small share.
         targets.update_cached_prefixes(reporter, {}, digest.uses)
         if digest.is_full:
             collector_incarnation = (digest.collector, digest.incarnation)
@@ -178,7 +177,7 @@
 
 
 def _is_better(
-    candidate: _CurrentDigest, known: _CurrentDigest, now: float
+    candidate: _ReceivedDigest, known: _ReceivedDigest, now: float
 ) -> bool:
     one, other = candidate.digest, known.digest
     if (one.collector, one.incarnation) == (other.collector, other.incarnation):
--- a/jacinthfold/fleet/directory.py
+++ b/jacinthfold/fleet/directory.py
@@ -53,7 +53,7 @@
     def _reaching_store(self, hosts: list[HostRecord]) -> list[HostRecord]:
         """Return the hosts that reach the store, all of them if none does."""
         # A host that cannot learn of revoked keys soon rejects all requests
-        # with a key, so callers sent to it would be turned away.
+        # with a key, including those of callers that are sent to it.
         names = {
             entry.record.name
             for entry in self._hosts.others()
@@ -66,7 +66,8 @@
     def _in_other_regions(self, host_name: str) -> list[HostRecord]:
         # A host that has just started has no routes and no home regions. It
         # could send callers to a region that must not serve them, where they
-        # would stay for seconds. Other hosts have the routes already.
+        # would stay for seconds. Other hosts have the routes already, and this
+        # one will have them in a moment.
         if self._catalogue.routes is None:
             return []
         allowed = self._catalogue.routes.common_home_regions(host_name)
--- a/jacinthfold/fleet/freshness_exchange.py
+++ b/jacinthfold/fleet/freshness_exchange.py
@@ -13,7 +13,7 @@
 from jacinthfold.fleet.digest_message import Digest
 from jacinthfold.fleet.heartbeat_message import Heartbeat, ProofReport, Receipt
 
-# Four seconds of own heartbeats.
+# Four seconds of this host's heartbeats.
 MAX_REMEMBERED_SEND_TIMES = 20
 # Hosts of a data centre whose messages a heartbeat acknowledges.
 MAX_PENDING_RECEIPTS = 32
@@ -23,7 +23,7 @@
 
 
 class _SendTimes:
-    """Hold the send times of own messages by number."""
+    """Hold the send times of this host's messages by number."""
 
     __slots__ = ('_times',)
 
@@ -41,7 +41,7 @@
 
 
 class FreshnessExchange:
-    """Send the age of the own proof and apply those of neighbours."""
+    """Send the age of this host's proof and apply those of neighbours."""
 
     def __init__(
         self, own: HostRecord, freshness: Freshness, clock: Clock
@@ -53,39 +53,39 @@
         self._clock = clock
         self._heartbeat_send_times = _SendTimes()
         self._digest_send_times = _SendTimes()
-        self._heard_beats: OrderedDict[str, Receipt] = OrderedDict()
-        self._heard_digests: OrderedDict[str, Receipt] = OrderedDict()
+        self._heartbeat_receipts: OrderedDict[str, Receipt] = OrderedDict()
+        self._digest_receipts: OrderedDict[str, Receipt] = OrderedDict()
         # Proofs add bytes to messages; they are sent only if needed.
         self.is_enabled = False
 
     def fill_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Add the own proof and pending receipts to a heartbeat."""
+        """Add this host's proof and pending receipts to a heartbeat."""
         if not self.is_enabled:
             return
         self._heartbeat_send_times.record(
             heartbeat.count, self._clock.boottime()
         )
         heartbeat.proof = self._own_report()
-        heartbeat.heard_beats = dict(self._heard_beats)
-        heartbeat.heard_digests = dict(self._heard_digests)
+        heartbeat.heard_beats = dict(self._heartbeat_receipts)
+        heartbeat.heard_digests = dict(self._digest_receipts)
         # Each message is acknowledged once; the next one gives a newer receipt.
-        self._heard_beats.clear()
-        self._heard_digests.clear()
+        self._heartbeat_receipts.clear()
+        self._digest_receipts.clear()
 
     def fill_digest(self, digest: Digest) -> None:
-        """Add the own proof to a digest of this host."""
+        """Add this host's proof to a digest that it made."""
         if not self.is_enabled:
             return
         self._digest_send_times.record(digest.count, self._clock.boottime())
         digest.proof = self._own_report()
 
     def receive_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Apply the proof and receipts of a heartbeat of the own region."""
+        """Apply the proof and receipts of a heartbeat from this region."""
         if not self.is_enabled:
             return
         host = heartbeat.host
         receipt = (host.incarnation & _INCARNATION_MASK, heartbeat.count)
-        _remember(self._heard_beats, host.name, receipt)
+        _remember(self._heartbeat_receipts, host.name, receipt)
         own = self._own.name
         self._apply(
             heartbeat.proof,
@@ -96,11 +96,11 @@
         self._apply(heartbeat.proof, digest_receipt, self._digest_send_times)
 
     def receive_digest(self, digest: Digest) -> None:
-        """Apply the proof of a digest of the own data centre."""
+        """Apply the proof of a digest from this data centre."""
         if not self.is_enabled or digest.collector == self._own.name:
             return
         receipt = (digest.incarnation & _INCARNATION_MASK, digest.count)
-        _remember(self._heard_digests, digest.collector, receipt)
+        _remember(self._digest_receipts, digest.collector, receipt)
         for summary in digest.hosts:
             if summary.name == self._own.name:
                 own_receipt = (
--- a/jacinthfold/fleet/heartbeat_builder.py
+++ b/jacinthfold/fleet/heartbeat_builder.py
@@ -48,7 +48,7 @@
         self.suspects = Suspects(clock)
 
     def for_own_region(self, count: int, *, is_full: bool) -> Heartbeat:
-        """Return a heartbeat for hosts of the own region."""
+        """Return a heartbeat for hosts of this region."""
         heartbeat = self._heartbeat(count)
         heartbeat.loads = self._loads()
         heartbeat.limits = limit_reports.own_reports(
@@ -66,8 +66,8 @@
 
     def for_other_regions(self, count: int) -> Heartbeat:
         """Return a heartbeat for hosts of other regions."""
-        # The waits of all targets are computed only here, because hosts of the
-        # own region do not use them.
+        # The waits of all targets are computed only here, because hosts of
+        # this region do not use them.
         heartbeat = self._heartbeat(count)
         heartbeat.rooms = self._capacities()
         heartbeat.suspects = self.suspects.reports_to_send(
--- a/jacinthfold/fleet/heartbeat_message.py
+++ b/jacinthfold/fleet/heartbeat_message.py
@@ -1,9 +1,9 @@
 """Encode and decode heartbeats.
 
 Nearly all traffic between the data centres of a region is heartbeats: each of
-30 hosts sends its loads of targets to each other one 2.5 times a second. They
-are compressed with a preset dictionary of their common content, for hosts that
-report support for it.
+30 hosts reports its load on the targets to every other host 2.5 times a second.
+They are compressed with a preset dictionary of their common content, for hosts
+that report support for it.
 """
 
 import zlib
--- a/jacinthfold/fleet/heartbeats.py
+++ b/jacinthfold/fleet/heartbeats.py
@@ -46,8 +46,8 @@
 # the square of the hosts: from a region of 22, each host gets 2.6 a second by
 # calculation instead of 18.
 REMOTE_FANOUT = 3
-# Latency models and prefilled tokens change only over seconds, so every fifth
-# heartbeat to the own region includes them.
+# Latency models and prefilled tokens change only over seconds, so only every
+# fifth heartbeat within a region includes them.
 FULL_INTERVAL_HEARTBEATS = 5
 # Whether a region has collectors changes only when many hosts come or go.
 COLLECTOR_CHECK_INTERVAL_HEARTBEATS = 3
@@ -165,7 +165,10 @@
             logs.warning('heartbeat_unreadable', peer=addr, reason=repr(error))
 
     def error_received(self, exc: Exception) -> None:
-        """Log that a datagram could not be delivered, at a limited rate."""
+        """Log that a datagram could not be delivered, at a limited rate.
+
+        The host table notices dead hosts by itself, from their silence.
+        """
         self._send_error_count += 1
         now = self._clock.monotonic()
         if now - self._send_error_logged_at < SEND_ERROR_LOG_INTERVAL_SECONDS:
--- a/jacinthfold/fleet/snapshots.py
+++ b/jacinthfold/fleet/snapshots.py
@@ -18,7 +18,7 @@
 
 SNAPSHOT_PATH = '/snapshot'
 # Another host may be ahead by the time in which changes are batched. Longer
-# means that the own watch hangs or is cut off.
+# means that this host's watch hangs or is cut off.
 MAX_BEHIND_SECONDS = 0.9
 # In a profile of an idle host among 195, three checks a second took 35 of its
 # 650 busy milliseconds. With 0.5 s plus the delay of the watch a change arrives
--- a/jacinthfold/fleet/table.py
+++ b/jacinthfold/fleet/table.py
@@ -237,7 +237,7 @@
         return [entry for entry in found if entry is not None]
 
     def others_in_own_region(self) -> list[HostEntry]:
-        """Return the other hosts of the own region that have not expired."""
+        """Return this region's other hosts that have not expired."""
         region = self.own.region
         return [one for one in self.others() if one.record.region == region]
 
--- a/jacinthfold/fleet/watchers.py
+++ b/jacinthfold/fleet/watchers.py
@@ -8,8 +8,9 @@
 from jacinthfold.fleet.table import HostTable
 from jacinthfold.hashing import rank
 
-# In smaller regions each host watches for itself. A watch ends at most twice a
-# second: 20 of the 2,000 reads a second that the smallest store allows.
+# In regions of up to this many hosts each one watches for itself. A watch ends
+# at most twice a second: 20 of the 2,000 reads a second that the smallest store
+# allows.
 MIN_HOSTS_FOR_WATCHERS = 10
 # A watch may hang for five seconds before its host notices. The second watcher
 # still delivers changes within the allowed time.
--- a/tests/gateway/test_collectors.py
+++ b/tests/gateway/test_collectors.py
@@ -223,11 +223,11 @@
     for host in fleet.hosts.values():
         host.scene.targets.find('i-0').own = Load(1, 0, 0, 0)
     fleet.run(SETTLED_SECONDS)
-    frozen = fleet.hosts[fleet.collectors('n-1')[0]]
-    frozen.is_running = False
+    suspended = fleet.hosts[fleet.collectors('n-1')[0]]
+    suspended.is_running = False
     fleet.run(4.0)
-    frozen.is_running = True
-    others = [one for one in fleet.hosts.values() if one is not frozen]
+    suspended.is_running = True
+    others = [one for one in fleet.hosts.values() if one is not suspended]
     for _ in range(30):
         fleet.run(0.1)
         assert all(requests(one, 'i-0') >= 29 for one in others)
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize(
-    ('age_seconds', 'barrier'),
+    ('age_seconds', 'expected'),
     [
         (0, None),
         (4.5, None),
@@ -162,10 +162,10 @@
         (60, KeyRejection.STALE),
     ],
 )
-def test_request_is_not_sent_past_the_bound(age_seconds, barrier):
+def test_request_is_not_sent_past_the_bound(age_seconds, expected):
     """A host accepts a request and is suspended before sending it."""
     gate, _ = gate_with_age(age_seconds)
-    assert gate.rejection(request_with(KEY)) is barrier
+    assert gate.rejection(request_with(KEY)) is expected
 
 
 def test_request_whose_key_is_revoked_while_waiting_is_not_sent():
@@ -196,7 +196,7 @@
     assert gate.rejection(request) is KeyRejection.REVOKED
 
 
-def test_unknown_key_is_not_denied_by_old_knowledge():
+def test_unknown_key_is_not_denied_by_stale_records():
     """A key may just have been added, and callers don't retry a denial."""
     assert gate_with_age(0)[0].may_deny
     assert not gate_with_age(3)[0].may_deny
@@ -222,8 +222,8 @@
     """The store becomes unreachable, and a key is revoked meanwhile.
 
     The host accepts keys until the bound. Then it answers 503 with Retry-After
-    for all keys, still serving public routes. Once the store is back it denies
-    the revoked key.
+    at once for all keys, still serving public routes. Once the store is back it
+    denies the revoked key.
     """
     start_hosts_with_keys(deployment, 'north-a')
     assert ask_with_key(deployment, 'north-a').status == 200
--- a/tests/gateway/test_heartbeat.py
+++ b/tests/gateway/test_heartbeat.py
@@ -43,7 +43,7 @@
             content
         )
 
-    def beat(self):
+    def next_datagrams(self):
         self.sent.clear()
         self.heartbeats.send_heartbeats()
         return self.sent
@@ -75,7 +75,7 @@
         document.pop(name)
     new.heartbeats.datagram_received(json.dumps(document).encode(), ('b', 1))
     assert new.hosts.others()[0].state is HostState.STARTING
-    assert json.loads(new.beat()[0])['host']['name'] == 'a'
+    assert json.loads(new.next_datagrams()[0])['host']['name'] == 'a'
 
 
 def test_hosts_that_know_each_other_send_compressed():
@@ -83,7 +83,7 @@
     one.heartbeats.datagram_received(
         other.heartbeats._encoded_heartbeat(), ('b', 1)
     )
-    content = one.beat()[0]
+    content = one.next_datagrams()[0]
     assert decode(content).host.name == 'a'
     assert not content.startswith(b'{')
     other.heartbeats.datagram_received(content, ('a', 1))
@@ -93,7 +93,7 @@
 def test_first_heartbeats_go_to_the_seeds():
     peer = Peer('a')
     peer.heartbeats.seeds = (('10.9.0.1', 1), (host('a').address, 1))
-    assert len(peer.beat()) == 1
+    assert len(peer.next_datagrams()) == 1
 
 
 @given(st.binary(max_size=400))
--- a/tests/gateway/test_watchers.py
+++ b/tests/gateway/test_watchers.py
@@ -75,8 +75,8 @@
     assert len(watcher_names(hosts)) == WATCHERS_PER_DATA_CENTRE
 
 
-@pytest.mark.parametrize('way', ['silent', 'lost'])
-def test_others_take_over_from_watchers_that_fail(way):
+@pytest.mark.parametrize('failure', ['silent', 'lost'])
+def test_others_take_over_from_watchers_that_fail(failure):
     """Both watchers of a data centre die or lose the store.
 
     Without a takeover no host would receive changes, and a drained target
@@ -87,7 +87,7 @@
     exchange_heartbeats(hosts)
     failed = watcher_names(hosts)
     clock.advance(2.1)
-    exchange_heartbeats(hosts, **{way: failed})
+    exchange_heartbeats(hosts, **{failure: failed})
     left = {name: hosts[name] for name in NAMES if name not in failed}
     assert len(watcher_names(left)) == WATCHERS_PER_DATA_CENTRE
 
@@ -171,11 +171,11 @@
 
 
 def test_large_configuration_reaches_a_region_over_a_narrow_link():
-    """Fourteen hosts fetch 1,300 new routes at once over a 5 Mbit/s link.
+    """Fourteen hosts fetch 1,300 new routes from one watcher at once.
 
-    If the responses did not fit through the link within the call's timeout,
-    all would fail and be retried, and the hosts would use the earlier routes
-    for seconds.
+    If the responses did not fit through its link of 5 Mbit/s within the call's
+    timeout, all would fail and be retried, and the hosts would use the earlier
+    routes for seconds.
     """
     known = large_catalogue()
     snapshots = CompressedSnapshots(known)
