--- a/jacinthfold/placement/affinity.py
+++ b/jacinthfold/placement/affinity.py
@@ -48,11 +48,11 @@
         self._recent: dict[str, _RecentSegments] = {}
 
     def shared_segments(
-        self, route_name: str, parts: tuple[PrefixSegment, ...], targets: int
+        self, route_name: str, segments: tuple[PrefixSegment, ...], targets: int
     ) -> tuple[PrefixSegment, ...]:
         """Return the leading segments by which requests are kept together."""
         # The last segment belongs to the request alone.
-        shared = parts[:-1]
+        shared = segments[:-1]
         if len(shared) < 2:
             return shared
         recent = self._recent.setdefault(route_name, _RecentSegments())
--- a/jacinthfold/placement/backoff.py
+++ b/jacinthfold/placement/backoff.py
@@ -35,7 +35,7 @@
         return not self._is_probing or now >= self._probed_at + PROBE_SECONDS
 
     def record_sent(self, now: float) -> None:
-        """Count a request that is sent, as a probe where one is due."""
+        """Record the time of a request, which is a probe after a backoff."""
         self._probed_at = now
 
     def record_rejected(self, seconds: float, now: float) -> None:
--- a/jacinthfold/placement/budget.py
+++ b/jacinthfold/placement/budget.py
@@ -11,8 +11,8 @@
 # Fraction of the budget that is used: windows slide, and requests that count
 # now may fall out of a window that began a moment ago.
 SAFETY_FACTOR = 0.75
-# The slack is split among at least this many hosts, and among this factor more
-# than are known: a deployment can grow by its spare hosts without notice.
+# The slack is split among at least this many hosts, and among the known hosts
+# times this factor: a deployment can grow by its spare hosts without notice.
 MIN_HOSTS = 14
 HOST_GROWTH_FACTOR = 1.25
 
--- a/jacinthfold/placement/choice.py
+++ b/jacinthfold/placement/choice.py
@@ -64,9 +64,9 @@
     ) -> Choice:
         """Return the target or region for a request, or a rejection."""
         best = self._best_local(request, tried)
-        is_repeat = bool(tried or tried_regions)
-        allowed = self._latency_budget_seconds(request, is_repeat=is_repeat)
-        preferred = None if is_repeat else self._preferred_remote(request, best)
+        is_retry = bool(tried or tried_regions)
+        allowed = self._latency_budget_seconds(request, is_retry=is_retry)
+        preferred = None if is_retry else self._preferred_remote(request, best)
         if preferred is not None:
             return RelayTo(preferred)
         remote = self._best_remote(request, tried_regions)
@@ -236,10 +236,10 @@
         return estimate.seconds * max(1.0, target.slowness) + risk + jitter
 
     def _latency_budget_seconds(
-        self, request: Request, *, is_repeat: bool
+        self, request: Request, *, is_retry: bool
     ) -> float:
         now = self._clock.monotonic()
-        if is_repeat:
+        if is_retry:
             # A stream that breaks after its latency objective has passed is
             # still resumed until its deadline: it has been delivered in part.
             return request.deadline - now
--- a/jacinthfold/placement/estimates.py
+++ b/jacinthfold/placement/estimates.py
@@ -110,7 +110,7 @@
     def copy_sources(
         self, request: Request, targets: Iterable[Target]
     ) -> list['CopySource']:
-        """Return targets to copy a shared prefix from, without equal ones."""
+        """Return targets to copy a shared prefix from, one of each kind."""
         # The time of a copy depends only on the cached tokens and the data
         # centre, and a target that caches as many needs no copy, so one of each
         # kind is enough. With 23 engines this takes 92 comparisons at most
--- a/jacinthfold/placement/jitter.py
+++ b/jacinthfold/placement/jitter.py
@@ -61,7 +61,8 @@
         """Return by how many seconds waits may differ from the estimates.
 
         The region's hosts are assumed to send as much as this one. The busy
-        time is that of one request at one target, divided by the targets.
+        time is that of one request at one target, divided by the number of
+        targets.
         """
         rate = self._rates.get(service)
         if rate is None:
--- a/jacinthfold/placement/limit_reports.py
+++ b/jacinthfold/placement/limit_reports.py
@@ -5,7 +5,7 @@
 from jacinthfold.placement.request_limit import LimitReport
 from jacinthfold.placement.targets import TargetTable
 
-# A higher number of rotations is invalid.
+# No limit is rotated this often: reports of more rotations are invalid.
 MAX_ROTATIONS = 1_000_000
 
 
--- a/jacinthfold/placement/limits.py
+++ b/jacinthfold/placement/limits.py
@@ -25,10 +25,11 @@
 LAST_RESORT_SECONDS = 2.0
 # Added to it for requests that were placed in time and wait for a connection.
 LAST_SEND_SECONDS = 0.5
-# First ejection of an unreachable target; doubled after repeated failures up to
-# the limit.
+# Duration of an ejection after the first failure of an unreachable target,
+# doubled with each further failure in a row up to the limit.
 EJECT_SECONDS = 0.5
 EJECT_LIMIT_SECONDS = 4.0
+# Failures in a row after which a target is ejected although it is reachable.
 FAILURES_TO_EJECT = 3
 # How long a load report of another host counts; reports come every 200 ms.
 REPORT_LIFETIME_SECONDS = 1.5
--- a/jacinthfold/placement/pushback.py
+++ b/jacinthfold/placement/pushback.py
@@ -17,7 +17,7 @@
 
     __slots__ = (
         '_instance',
-        '_unreadable',
+        '_logged_headers',
         'leaving_since',
         'limit',
         'backoff',
@@ -27,7 +27,7 @@
         """Start without pushback."""
         self._instance = instance
         # Names of malformed headers, logged once each.
-        self._unreadable: set[str] = set()
+        self._logged_headers: set[str] = set()
         # When an answer first announced that the target leaves.
         self.leaving_since: float | None = None
         self.limit = RequestLimit(instance)
@@ -41,7 +41,7 @@
             # Another target has the address now.
             return
         facts = head.facts
-        self._log_unreadable(facts.invalid_headers)
+        self._log_invalid_headers(facts.invalid_headers)
         if facts.is_leaving and self.leaving_since is None:
             self.leaving_since = now
             logs.event('target_leaving', target=self._instance, source='answer')
@@ -75,14 +75,14 @@
             return 'target_limit'
         return ''
 
-    def _log_unreadable(self, unreadable: dict[str, str]) -> None:
-        for name in unreadable.keys() - self._unreadable:
-            self._unreadable.add(name)
+    def _log_invalid_headers(self, invalid_headers: dict[str, str]) -> None:
+        for name in invalid_headers.keys() - self._logged_headers:
+            self._logged_headers.add(name)
             logs.warning(
                 'target_header_unreadable',
                 target=self._instance,
                 header=name,
-                content=unreadable[name],
+                content=invalid_headers[name],
             )
 
 
--- a/jacinthfold/placement/regions.py
+++ b/jacinthfold/placement/regions.py
@@ -84,14 +84,14 @@
         hosts = self._live_hosts().get(region)
         if not hosts:
             return None
-        return self._remote(request, region, hosts, prefix_tokens)
+        return self._estimate_region(request, region, hosts, prefix_tokens)
 
     def best(
         self, request: Request, tried_regions: Collection[str]
     ) -> RemoteRegion | None:
         """Return the allowed region with the earliest first event."""
         found = [
-            self._remote(request, name, hosts)
+            self._estimate_region(request, name, hosts)
             for name, hosts in self._live_hosts().items()
             if name not in tried_regions and request.allows(name)
         ]
@@ -117,7 +117,7 @@
             by_region.setdefault(report.region, []).append(host)
         return by_region
 
-    def _remote(
+    def _estimate_region(
         self,
         request: Request,
         name: str,
@@ -130,8 +130,10 @@
         ]
         if not serving:
             return None
-        rank = 1 if request.is_urgent else 0
-        waits = [self._reports[host].waits[service][rank] for host in serving]
+        wait_index = 1 if request.is_urgent else 0
+        waits = [
+            self._reports[host].waits[service][wait_index] for host in serving
+        ]
         count = max(
             self._reports[host].target_counts.get(service, 1)
             for host in serving
--- a/jacinthfold/placement/request_limit.py
+++ b/jacinthfold/placement/request_limit.py
@@ -5,8 +5,8 @@
 # Requests per second (0 where a limit has ended), the report's age in
 # milliseconds, and how often the hosts that hold the limit were rotated.
 LimitReport = tuple[float, int, int]
-# Without news of the limit for this time, or for the time in which its holders
-# may send this many requests, the next hosts in rank hold the limit.
+# Without a report of the limit for this time, or for the time in which its
+# holders may send this many requests, the next hosts in rank hold the limit.
 ROTATION_SECONDS = 4.0
 ROTATION_REQUESTS = 4.0
 # Lowest rate that is assumed, to bound the time of one rotation.
@@ -40,7 +40,7 @@
         self.reported_at = float('-inf')
         # Whether this host received it from the target itself.
         self.is_first_hand = False
-        # How often the hosts that hold it were rotated for lack of news.
+        # How often the hosts that hold it were rotated for lack of reports.
         self.rotation = 0
         # How many hosts hold it, and this host's token bucket: its rate, the
         # requests available in it and the time of its latest refill.
--- a/jacinthfold/placement/target.py
+++ b/jacinthfold/placement/target.py
@@ -10,7 +10,7 @@
 from jacinthfold.request.messages import PromptPrefix
 
 # Weight of the newest answer in the moving averages, and their initial value:
-# three answers of an idle engine.
+# the time of three answers of an idle engine.
 SPEED_WEIGHT = 0.15
 SPEED_START_SECONDS = 0.2
 SLOWNESS_LIMIT = 8.0
--- a/jacinthfold/placement/targets.py
+++ b/jacinthfold/placement/targets.py
@@ -82,9 +82,9 @@
         if target is None or _is_other_incarnation(target, record):
             target = self._add(record, target)
         is_staying = target.last_resort_until is None
-        is_moved = _index_key(target.record) != _index_key(record)
+        is_key_changed = _index_key(target.record) != _index_key(record)
         target.record = record
-        if is_moved:
+        if is_key_changed:
             self._index()
         target.is_removed = False
         self._extend_cold(target, record.cold_seconds, now)
@@ -278,8 +278,8 @@
 
 def _started_at(record: TargetRecord, clock: Clock) -> float:
     """Return the start of an incarnation on the monotonic clock."""
-    born_seconds = (record.started_at_ms or 0) / 1000
-    return clock.monotonic() - clock.now().timestamp() + born_seconds
+    started_at_seconds = (record.started_at_ms or 0) / 1000
+    return clock.monotonic() - clock.now().timestamp() + started_at_seconds
 
 
 def _is_other_incarnation(target: Target, record: TargetRecord) -> bool:
--- a/jacinthfold/transport/exchange.py
+++ b/jacinthfold/transport/exchange.py
@@ -76,7 +76,7 @@
         return response
 
     async def read_chunk(self) -> bytes | None:
-        """Return the next bytes of the body, or None at its end."""
+        """Return bytes of the body, or None at its end; raise ProxyError."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
--- a/jacinthfold/transport/pool.py
+++ b/jacinthfold/transport/pool.py
@@ -16,6 +16,9 @@
 MAX_FRESH_IDLE_SECONDS = 1.0
 MAX_IDLE_PER_ENDPOINT = 32
 
+# Address, port and the identity behind them, so that a process that takes over
+# an address gets no connections of the earlier one: a target's incarnation, the
+# name of an entry host, or nothing for PooledHttpClient.
 Endpoint = tuple[str, int, str]
 
 
@@ -31,7 +34,7 @@
 
 
 class ConnectionPool:
-    """Open connections and keep idle ones by endpoint and instance."""
+    """Open connections and keep idle ones by endpoint."""
 
     def __init__(self, clock: Clock) -> None:
         """Start without connections."""
@@ -47,11 +50,9 @@
         must_be_fresh: bool,
     ) -> Channel:
         """Return an idle or new connection; raise ConnectFailedError."""
-        idle_connections = self._take_idle(
-            endpoint, must_be_fresh=must_be_fresh
-        )
-        if idle_connections is not None:
-            return idle_connections
+        channel = self._take_idle(endpoint, must_be_fresh=must_be_fresh)
+        if channel is not None:
+            return channel
         self.opened_count += 1
         return await connect(endpoint[:2], connect_timeout_seconds)
 
--- a/tests/gateway/limited_targets.py
+++ b/tests/gateway/limited_targets.py
@@ -66,7 +66,9 @@
         self._is_over = threading.Event()
         self.answers = []
         self._threads = [
-            threading.Thread(target=self._ask, args=(number,), daemon=True)
+            threading.Thread(
+                target=self._send_requests, args=(number,), daemon=True
+            )
             for number in range(count)
         ]
 
@@ -80,7 +82,7 @@
         for thread in self._threads:
             thread.join()
 
-    def _ask(self, number):
+    def _send_requests(self, number):
         names = sorted(self._deployment.hosts)
         while not self._is_over.wait(self._pause_seconds):
             name = names[number % len(names)]
--- a/tests/gateway/peak.py
+++ b/tests/gateway/peak.py
@@ -27,25 +27,25 @@
         self.free_at = 0.0
         self.cache = OrderedDict()
 
-    def cached_tokens(self, parts):
+    def cached_tokens(self, segments):
         tokens, name = 0, ''
-        for part in parts:
-            name += f'/{part.name}'
+        for segment in segments:
+            name += f'/{segment.name}'
             if name not in self.cache:
                 break
-            tokens += part.tokens
+            tokens += segment.tokens
         return tokens
 
-    def prefill(self, parts, reused_tokens, now):
+    def prefill(self, segments, reused_tokens, now):
         """Return when the prompt will have been prefilled."""
         name = ''
-        for part in parts:
-            name += f'/{part.name}'
-            self.cache[name] = part.tokens
+        for segment in segments:
+            name += f'/{segment.name}'
+            self.cache[name] = segment.tokens
             self.cache.move_to_end(name)
         while sum(self.cache.values()) > CACHE_TOKENS:
             self.cache.popitem(last=False)
-        tokens = sum(part.tokens for part in parts) - reused_tokens
+        tokens = sum(segment.tokens for segment in segments) - reused_tokens
         begins_at = max(now, self.free_at)
         self.free_at = begins_at + tokens / PREFILL_TOKENS_PER_SECOND
         return self.free_at
@@ -94,12 +94,12 @@
             SYSTEM_TOKENS + SHARED_SEGMENT_TOKENS + OWN_TOKENS
         )
         shared_segment = self.random.randrange(SHARED_SEGMENTS)
-        parts = (
+        segments = (
             PrefixSegment(f'system-{shared_segment % 3}', SYSTEM_TOKENS),
             PrefixSegment(f'subject-{shared_segment}', SHARED_SEGMENT_TOKENS),
             PrefixSegment(f'own-{number}', OWN_TOKENS),
         )
-        request.facts.prefix_segments = parts
+        request.facts.prefix_segments = segments
         choice = scene.choose(request)
         if not isinstance(choice, SendTo):
             self.rejected += 1
@@ -107,13 +107,13 @@
         scene.placer.record_sent(choice, request)
         target = choice.estimate.target
         engine = self.engines[target.record.instance]
-        cached = engine.cached_tokens(parts)
+        cached = engine.cached_tokens(segments)
         if choice.estimate.copy_source is not None:
             source_instance = choice.estimate.copy_source.record.instance
             cached = max(
-                cached, self.engines[source_instance].cached_tokens(parts)
+                cached, self.engines[source_instance].cached_tokens(segments)
             )
-        ends_at = engine.prefill(parts, cached, now)
+        ends_at = engine.prefill(segments, cached, now)
         pending = request.facts.prompt_tokens - choice.estimate.cached_tokens
         target.own.add(Load(1, pending, request.facts.prompt_tokens))
         self.prefilling.append((ends_at, target, pending))
--- a/tests/gateway/test_choice.py
+++ b/tests/gateway/test_choice.py
@@ -40,11 +40,11 @@
     """
     scene = Scene()
     request = prompt(scene, 'subject')
-    chain = [link.name for link in request.facts.shared_prefixes]
+    names = [prefix.name for prefix in request.facts.shared_prefixes]
     for number in range(data.draw(st.integers(2, 9))):
         data_centre = data.draw(st.sampled_from(['n-1', 's-1']))
         target = scene.add(f'i-{number}', data_centre=data_centre)
-        target.cached_prefixes.record_use(chain[: data.draw(st.integers(0, 2))])
+        target.cached_prefixes.record_use(names[: data.draw(st.integers(0, 2))])
         pending = data.draw(st.sampled_from([0, 20000, 60000]))
         target.own = Load(2, pending, pending)
     placer: Placer = scene.placer
--- a/tests/gateway/test_kept.py
+++ b/tests/gateway/test_kept.py
@@ -10,21 +10,29 @@
 MEMORY_TOKENS = 100000
 
 
-def chain(*names):
+def prefixes_of(*names):
     facts = RequestFacts('id', 'api')
     facts.prefix_segments = tuple(PrefixSegment(name, 5000) for name in names)
     return facts.prefixes
 
 
 def test_prefix_that_nobody_sent_is_not_cached():
-    assert CachedPrefixes().cached_tokens(chain('a', 'own'), MEMORY_TOKENS) == 0
+    assert (
+        CachedPrefixes().cached_tokens(prefixes_of('a', 'own'), MEMORY_TOKENS)
+        == 0
+    )
 
 
 def test_segment_is_cached_only_with_all_before_it():
     cached = CachedPrefixes()
-    cached.record_use(link.name for link in chain('a', 'b'))
-    assert cached.cached_tokens(chain('a', 'b', 'own'), MEMORY_TOKENS) == 10000
-    assert cached.cached_tokens(chain('x', 'b', 'own'), MEMORY_TOKENS) == 0
+    cached.record_use(prefix.name for prefix in prefixes_of('a', 'b'))
+    assert (
+        cached.cached_tokens(prefixes_of('a', 'b', 'own'), MEMORY_TOKENS)
+        == 10000
+    )
+    assert (
+        cached.cached_tokens(prefixes_of('x', 'b', 'own'), MEMORY_TOKENS) == 0
+    )
 
 
 def test_newer_prompts_evict_older_prefixes():
@@ -32,9 +40,9 @@
     cached = CachedPrefixes()
     cached.record_use(['/a'])
     cached.add_prefilled(50000)
-    assert cached.cached_tokens(chain('a'), MEMORY_TOKENS) == 5000
+    assert cached.cached_tokens(prefixes_of('a'), MEMORY_TOKENS) == 5000
     cached.update_counter('b', 30000)
-    assert cached.cached_tokens(chain('a'), MEMORY_TOKENS) == 0
+    assert cached.cached_tokens(prefixes_of('a'), MEMORY_TOKENS) == 0
 
 
 def test_counter_of_a_restarted_host_adds_up():
--- a/tests/gateway/test_limit_shares.py
+++ b/tests/gateway/test_limit_shares.py
@@ -227,7 +227,7 @@
     assert not target.pushback.rejection_reason(0.0, is_counted=True)
 
 
-def test_gate_before_the_send_asks_the_target():
+def test_target_is_checked_before_the_send():
     """Guards against a send without a last check of the target's state."""
     scene = Scene()
     request = scene.request()
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -356,7 +356,7 @@
     assert isinstance(scene.choose(away), RelayTo)
 
 
-def test_refusals_spread_the_returns():
+def test_rejections_spread_the_retries():
     scene = Scene()
     scene.add('i-1').own = Load(4, 400000, 100000)
     times = {
@@ -377,7 +377,7 @@
     assert scene.instance(scene.request(tokens=70000)) == 'i-1'
 
 
-def test_cut_stream_is_placed_again_after_its_aim():
+def test_cut_stream_is_placed_again_after_its_objective():
     """A stream breaks 3 s after its start, with an objective of 1 s."""
     scene = Scene()
     scene.add('i-1')
@@ -555,19 +555,19 @@
     hosts = [RetryBudgets(0.2, 56, 10, clock) for _ in range(8)]
     for budgets in hosts:
         budgets.update_hosts(8)
-    requests, repeats = [], []
-    for pause, is_repeat in steps:
+    requests, retries = [], []
+    for pause, is_retry in steps:
         clock.advance(pause)
         for budgets in hosts:
-            if is_repeat and budgets.try_spend('desk'):
-                repeats.append(clock.monotonic())
-            if not is_repeat:
+            if is_retry and budgets.try_spend('desk'):
+                retries.append(clock.monotonic())
+            if not is_retry:
                 budgets.record_request('desk')
                 requests.append(clock.monotonic())
-    for end in repeats:
-        recent = [one for one in repeats if end - 10 < one <= end]
-        asked = [one for one in requests if end - 10 < one <= end]
-        assert len(recent) <= 0.2 * len(asked) + 56
+    for end in retries:
+        recent = [one for one in retries if end - 10 < one <= end]
+        recent_requests = [one for one in requests if end - 10 < one <= end]
+        assert len(recent) <= 0.2 * len(recent_requests) + 56
 
 
 def test_disconnected_hosts_still_count_in_the_slack_split():
--- a/tools/ablations/decisions.py
+++ b/tools/ablations/decisions.py
@@ -104,7 +104,7 @@
             ),
         ],
         GATEWAY
-        + 'test_limit_shares.py::test_gate_before_the_send_asks_the_target',
+        + 'test_limit_shares.py::test_target_is_checked_before_the_send',
     ),
     Ablation(
         'gateway: only one host sends to a cold target',
@@ -135,12 +135,12 @@
         [
             (
                 'placement/choice.py',
-                '        if is_repeat:',
+                '        if is_retry:',
                 '        if False:',
             ),
         ],
         GATEWAY
-        + 'test_placement.py::test_cut_stream_is_placed_again_after_its_aim',
+        + 'test_placement.py::test_cut_stream_is_placed_again_after_its_objective',
     ),
     Ablation(
         'gateway: prompts with a shared prefix stay together',
